--- a/src/batches/engineFleet.ts
+++ b/src/batches/engineFleet.ts
@@ -1,7 +1,7 @@
 /**
- * The engines as the leader of the batch store knows them: what it runs on
- * each, how fast events come, and which versions of weights each holds. Only
- * the leader sends to them, so its own count of runs is the load.
+ * The engines as the leader of the batch store sees them: the runs on each, the
+ * pace of their events, and the weight versions that each holds. Only the leader
+ * sends runs to engines, so its own count of runs is their load.
  */
 import type { EndpointHealth } from '../endpoints/endpointHealth.js'
 import type { EndpointPool } from '../endpoints/endpointPool.js'
@@ -10,15 +10,15 @@
 import type { Clock } from '../utils/clock.js'
 import { EnginePace } from './enginePace.js'
 
-/** Engines start with the first version. */
-const FIRST_VERSION = 1
+/** Version that an engine holds when it starts. */
+const INITIAL_VERSION = 1
 
 export class Engine {
   endpoint: FleetEndpoint
   runningCount = 0
-  /** Tokens that its runs are expected to hold in its memory. */
+  /** Tokens that its runs are expected to occupy in its KV cache. */
   heldTokensCount = 0
-  /** The load that is under way, or whose outcome is not known yet. */
+  /** The weight load in progress, or one whose outcome is not known yet. */
   load: { model: string, version: number } | undefined
   readonly pace: EnginePace
   readonly health: EndpointHealth
@@ -28,7 +28,7 @@
     this.endpoint = endpoint
     this.health = health
     this.pace = new EnginePace(clock)
-    this.learnWeights(endpoint.weights)
+    this.recordWeights(endpoint.weights)
   }
 
   get id (): string {
@@ -40,11 +40,11 @@
   }
 
   version (model: string): number {
-    return this._versions.get(model) ?? FIRST_VERSION
+    return this._versions.get(model) ?? INITIAL_VERSION
   }
 
-  /** Versions only grow; a heartbeat may be older than what an answer said. */
-  learnWeights (weights: readonly NamedWeights[]): void {
+  /** Never lowers a version: a heartbeat may be older than the latest report. */
+  recordWeights (weights: readonly NamedWeights[]): void {
     for (const { model, version } of weights) this.learnVersion(model, version)
   }
 
@@ -52,35 +52,35 @@
     if (version > this.version(model)) this._versions.set(model, version)
   }
 
-  /** The engine itself says so: an order that was carried out late may have taken it back. */
+  /** Sets what the engine itself reported, even if lower: an order that was carried out late may have restored an older version. */
   setVersion (model: string, version: number): void {
     this._versions.set(model, version)
   }
 
-  /** Whether it takes new runs, apart from room. */
+  /** Whether it accepts new runs, regardless of free slots. */
   get isSound (): boolean {
     return this.health.isOpen && !this.health.isFull
   }
 
-  /** Whether it takes new runs of a model, apart from room: while one loads, the others go on. */
+  /** Whether it accepts new runs of a model, regardless of free slots. A load blocks only its own model. */
   mayBegin (model: string): boolean {
     return this.isSound && this.load?.model !== model
   }
 
-  /** Whether a run of the model may begin now; one alone where it has yet to show that slowness has passed. */
+  /** Whether a run of the model can start now. An engine that needs a probe gets a single run. */
   mayRun (model: string): boolean {
     const hasRoom = this.pace.isInDoubt ? this.runningCount === 0 : this.freeSlotsCount > 0
     return hasRoom && this.mayBegin(model)
   }
 
-  /** A run takes a slot. */
+  /** Occupies a slot. */
   enter (tokensCount: number): void {
     this.health.began()
     this.runningCount++
     this.heldTokensCount += tokensCount
   }
 
-  /** A run gives its slot back. */
+  /** Frees a slot. */
   leave (tokensCount: number): void {
     this.runningCount--
     this.heldTokensCount -= tokensCount
@@ -110,7 +110,7 @@
     }
     if (engine.endpoint !== endpoint) {
       engine.endpoint = endpoint
-      engine.learnWeights(endpoint.weights)
+      engine.recordWeights(endpoint.weights)
     }
     return engine
   }
--- a/src/batches/loadLanes.ts
+++ b/src/batches/loadLanes.ts
@@ -1,131 +1,132 @@
 /**
- * How many engines may load weights at once. A weight store feeds a few loads
- * at full speed; past that each one only takes longer, and all engines get
- * their weights late together. How many it feeds is not told, so it is found
- * from how long loads take: the number grows while as many as allowed take no
- * longer than a single load, and falls back to what the stretch says as soon as
- * they do. Measured with a store that feeds two: 0.9 s for the first and second
- * load, 1.4 s for a third beside them, 1.8 s for a fourth. Before a store that
- * feeds nine it was seen to settle at seven, three and a half times what a fixed
- * two would renew.
+ * Adaptive limit of concurrent weight loads. A weight store sustains a few loads
+ * at full speed; above that number each load only takes longer, and all engines
+ * get their weights late. The store does not report the number, so it is derived
+ * from load times: the limit grows while that many concurrent loads take no longer
+ * than a single one, and drops to the estimate from the slowdown as soon as they
+ * do. Measured with a store that sustains two: 0.9 s for the first and second
+ * load, 1.4 s for a third concurrent one, 1.8 s for a fourth. With a store that
+ * sustains nine, the limit settled at seven, which renews three and a half times
+ * as much as a fixed two.
  */
 import type { Clock } from '../utils/clock.js'
 
-/** What the first leader begins with: one would leave the store idle in every deployment that was measured. */
-const FIRST_LANES_COUNT = 2
-/** Until a load was seen: 0.9 s by the sheets of all deployments, and 0.1 s until its end shows in a report. */
+/** Limit of the first leader: one load at a time leaves the store underused in every measured deployment. */
+const INITIAL_LIMIT = 2
+/** Until a load has completed: 0.9 s as specified for all deployments, and 0.1 s until a report shows its end. */
 const ASSUMED_LOAD_MS = 1_000
-/** Loads that differ by less ran at full speed: reports show an end up to 150 ms late. */
+/** Loads below this ratio to the shortest one ran at full speed: reports show an end up to 150 ms late. */
 const FULL_SPEED_RATIO = 1.2
-/** Loads that took this much longer held each other up. */
-const STRETCHED_RATIO = 1.3
-/** So many in a row, on different engines, before a number is given up: a slow engine, or an end that shows late, says nothing of the store. */
-const STRETCHED_LOADS_COUNT = 2
-/** The shortest load that was seen, too, may have shown late by one look at a report. */
-const CLEAR_STRETCH_SLACK = 1.05
-/** So many loads at full speed prove a number: one that begins last may find that another has just ended, before a report shows it. Reasoned, not varied. */
-const FULL_SPEED_LOADS_COUNT = 2
-/** After a stretch, nothing more is tried for so long, and twice as long after each further one: a try costs one load half a second. */
-const FIRST_RETRY_AFTER_MS = 5_000
-const MAX_RETRY_AFTER_MS = 60_000
+/** Loads above this ratio to the shortest one slowed each other down. */
+const SLOWED_RATIO = 1.3
+/** Consecutive slowed loads, on different engines, before the limit drops: a slow engine or an end that is reported late says nothing about the store. */
+const MIN_SLOWED_LOADS_COUNT = 2
+/** Tolerance for the shortest load, whose end may have been reported late by one polling interval as well. */
+const CONCLUSIVE_TOLERANCE_RATIO = 1.05
+/** Loads at full speed that confirm the limit: for a single one, another load may have just ended without a report that shows it yet. */
+const MIN_FULL_SPEED_LOADS_COUNT = 2
+/** Time without an increase after a slowdown; it doubles with each further slowdown. An increase that fails costs one load half a second. */
+const INITIAL_BACKOFF_MS = 5_000
+const MAX_BACKOFF_MS = 60_000
 
-/** One load, from its order to its end. */
+/** One load, timed from its order to its end. */
 export interface TimedLoad {
   engineId: string
   startedAtMs: number
-  /** Loads under way when it began, itself among them. */
-  besideCount: number
-  /** Most of them at any moment until it ended. */
-  mostCount: number
+  /** Loads in progress when it started, including itself. */
+  concurrentAtStartCount: number
+  /** Maximum of concurrent loads until it ended. */
+  peakConcurrentCount: number
 }
 
-export class LoadLanes {
+export class LoadConcurrency {
   private readonly _clock: Clock
-  private readonly _underWay = new Set<TimedLoad>()
-  private _lanesCount: number
+  private readonly _active = new Set<TimedLoad>()
+  private _limit: number
   private _shortestMs: number | undefined
-  /** Lanes that loads were seen to fill at full speed. */
-  private _provenCount: number
-  private _mayTryAtMs = Number.NEGATIVE_INFINITY
-  private _retryAfterMs = FIRST_RETRY_AFTER_MS
+  /** Concurrent loads that have run at full speed. */
+  private _sustainedCount: number
+  private _increaseAllowedAtMs = Number.NEGATIVE_INFINITY
+  private _backoffMs = INITIAL_BACKOFF_MS
   private _fullSpeedCount = 0
-  /** Loads that the store fed, by each engine whose load was stretched since the last one at full speed. */
-  private readonly _fedCounts = new Map<string, number>()
+  /** Estimates of the loads that the store sustains, by engine whose load was slowed since the last one at full speed. */
+  private readonly _sustainableCounts = new Map<string, number>()
 
-  /** @param provenCount loads at a time that an earlier leader saw the store feed */
-  constructor (clock: Clock, provenCount = FIRST_LANES_COUNT) {
+  /** @param sustainedCount concurrent loads that the store sustained under an earlier leader */
+  constructor (clock: Clock, sustainedCount = INITIAL_LIMIT) {
     this._clock = clock
-    this._lanesCount = provenCount
-    this._provenCount = provenCount
+    this._limit = sustainedCount
+    this._sustainedCount = sustainedCount
   }
 
+  /** The limit of concurrent loads. */
   get lanesCount (): number {
-    return this._lanesCount
+    return this._limit
   }
 
-  /** Loads at a time that the store was seen to feed. */
-  get provenCount (): number {
-    return this._provenCount
+  /** Concurrent loads that the store has sustained at full speed. */
+  get sustainedCount (): number {
+    return this._sustainedCount
   }
 
   get isFull (): boolean {
-    return this._underWay.size >= this._lanesCount
+    return this._active.size >= this._limit
   }
 
-  /** Time that a load takes at full speed. */
+  /** Duration of a load at full speed. */
   get loadMs (): number {
     return this._shortestMs ?? ASSUMED_LOAD_MS
   }
 
-  begin (engineId: string): TimedLoad {
-    const besideCount = this._underWay.size + 1
-    const load = { engineId, startedAtMs: this._clock.nowMs(), besideCount, mostCount: besideCount }
-    this._underWay.add(load)
-    for (const other of this._underWay) other.mostCount = Math.max(other.mostCount, besideCount)
+  start (engineId: string): TimedLoad {
+    const concurrentCount = this._active.size + 1
+    const load = { engineId, startedAtMs: this._clock.nowMs(), concurrentAtStartCount: concurrentCount, peakConcurrentCount: concurrentCount }
+    this._active.add(load)
+    for (const other of this._active) other.peakConcurrentCount = Math.max(other.peakConcurrentCount, concurrentCount)
     return load
   }
 
-  /** @param isLoaded the engine holds the version; other loads say nothing of their time */
+  /** @param isLoaded the engine holds the version; the durations of other loads are ignored */
   end (load: TimedLoad, isLoaded: boolean): void {
-    this._underWay.delete(load)
-    if (isLoaded) this._learn(load, this._clock.nowMs() - load.startedAtMs)
+    this._active.delete(load)
+    if (isLoaded) this._recordDuration(load, this._clock.nowMs() - load.startedAtMs)
   }
 
-  private _learn ({ engineId, besideCount, mostCount }: TimedLoad, durationMs: number): void {
+  private _recordDuration ({ engineId, concurrentAtStartCount, peakConcurrentCount }: TimedLoad, durationMs: number): void {
     this._shortestMs = Math.min(this._shortestMs ?? durationMs, durationMs)
     const ratio = durationMs / this._shortestMs
-    // A load that was alone was held up by its engine, not by others.
-    if (ratio > STRETCHED_RATIO && mostCount > 1) return this._noteStretch(engineId, mostCount / ratio, besideCount)
-    const isBeyondProven = besideCount > this._provenCount || besideCount >= this._lanesCount
-    if (ratio > FULL_SPEED_RATIO || !isBeyondProven) return
-    this._fedCounts.clear()
-    this._noteFullSpeed()
+    // Without concurrent loads, the engine itself was slow.
+    if (ratio > SLOWED_RATIO && peakConcurrentCount > 1) return this._recordSlowdown(engineId, peakConcurrentCount / ratio, concurrentAtStartCount)
+    const isTestingLimit = concurrentAtStartCount > this._sustainedCount || concurrentAtStartCount >= this._limit
+    if (ratio > FULL_SPEED_RATIO || !isTestingLimit) return
+    this._sustainableCounts.clear()
+    this._recordFullSpeed()
   }
 
-  private _noteStretch (engineId: string, fedCount: number, besideCount: number): void {
-    this._fedCounts.set(engineId, fedCount)
-    const isBeyondProven = besideCount > this._provenCount
-    // Ends show late, never early: a load that is stretched less was not held up by a store at its proven limit.
-    const isClear = isBeyondProven && fedCount <= CLEAR_STRETCH_SLACK * this._provenCount
-    if (!isClear && this._fedCounts.size < STRETCHED_LOADS_COUNT) return
-    this._fallBack(isBeyondProven ? this._provenCount : Math.max(1, Math.round(Math.max(...this._fedCounts.values()))))
+  private _recordSlowdown (engineId: string, sustainableCount: number, concurrentAtStartCount: number): void {
+    this._sustainableCounts.set(engineId, sustainableCount)
+    const isAboveSustained = concurrentAtStartCount > this._sustainedCount
+    // Ends are reported late, never early: a load that is slowed less was not limited by a store at its sustained number.
+    const isConclusive = isAboveSustained && sustainableCount <= CONCLUSIVE_TOLERANCE_RATIO * this._sustainedCount
+    if (!isConclusive && this._sustainableCounts.size < MIN_SLOWED_LOADS_COUNT) return
+    this._reduceTo(isAboveSustained ? this._sustainedCount : Math.max(1, Math.round(Math.max(...this._sustainableCounts.values()))))
   }
 
-  private _fallBack (lanesCount: number): void {
+  private _reduceTo (limit: number): void {
     this._fullSpeedCount = 0
-    this._lanesCount = Math.min(this._lanesCount, lanesCount)
-    this._provenCount = this._lanesCount
-    this._fedCounts.clear()
-    this._mayTryAtMs = this._clock.nowMs() + this._retryAfterMs
-    this._retryAfterMs = Math.min(MAX_RETRY_AFTER_MS, 2 * this._retryAfterMs)
+    this._limit = Math.min(this._limit, limit)
+    this._sustainedCount = this._limit
+    this._sustainableCounts.clear()
+    this._increaseAllowedAtMs = this._clock.nowMs() + this._backoffMs
+    this._backoffMs = Math.min(MAX_BACKOFF_MS, 2 * this._backoffMs)
   }
 
-  /** Half as many again until the first stretch, so that a large number is found in seconds; one more from then on. */
-  private _noteFullSpeed (): void {
+  /** Raises the limit by half until the first slowdown, so that a large one is found in seconds; by one after that. */
+  private _recordFullSpeed (): void {
     this._fullSpeedCount++
-    if (this._fullSpeedCount < FULL_SPEED_LOADS_COUNT || this._clock.nowMs() < this._mayTryAtMs) return
+    if (this._fullSpeedCount < MIN_FULL_SPEED_LOADS_COUNT || this._clock.nowMs() < this._increaseAllowedAtMs) return
     this._fullSpeedCount = 0
-    this._provenCount = this._lanesCount
-    this._lanesCount += this._retryAfterMs > FIRST_RETRY_AFTER_MS ? 1 : Math.ceil(this._lanesCount / 2)
+    this._sustainedCount = this._limit
+    this._limit += this._backoffMs > INITIAL_BACKOFF_MS ? 1 : Math.ceil(this._limit / 2)
   }
 }
--- a/src/batches/modelDemand.ts
+++ b/src/batches/modelDemand.ts
@@ -1,27 +1,27 @@
 /**
- * What each trained model asks of the engines, as the leader of the batch store
- * observes it: how often its trainer names a version, how far behind that a
- * step may be, how many items a step has, and how long the longest sample was.
+ * Demand of each trained model on the engines, as observed by the leader of the
+ * batch store: how often its trainer names a version, how many versions behind a
+ * step may be, how many items a step has, and the length of the longest sample.
  */
 import type { Clock } from '../utils/clock.js'
 import type { SubmissionHead } from './batch.js'
 
-/** Until a step was seen that allows more or less: trainers that train on the step before. */
+/** Until steps show otherwise: trainers that train on the previous step. */
 const ASSUMED_STALENESS_VERSIONS = 1
-/** Steps whose staleness is remembered: the first ones of a job allow less, because there is no older version. */
-const REMEMBERED_STEPS_COUNT = 3
+/** Steps over which the staleness is taken: the first ones of a job allow less, because there is no older version. */
+const STALENESS_WINDOW_STEPS = 3
 
-/** Namings over which the interval is taken, so that one that was late does not count for all. */
-const REMEMBERED_NAMINGS_COUNT = 4
+/** Named versions over which the interval is averaged, so that a single late one has little effect. */
+const INTERVAL_WINDOW_NAMINGS = 4
 
-interface Naming {
+interface NamedVersion {
   version: number
   atMs: number
 }
 
 interface Demand {
   namedVersion: number
-  namings: Naming[]
+  namings: NamedVersion[]
   stalenesses: number[]
   stepItemsCount: number | undefined
   longestEventsCount: number
@@ -35,41 +35,41 @@
     this._clock = clock
   }
 
-  /** A trainer named this version, now or before. */
+  /** Records the newest version that a trainer has named; may be called repeatedly with the same one. */
   named (model: string, version: number): void {
-    const demand = this._of(model, version)
+    const demand = this._demandOf(model, version)
     if (version <= demand.namedVersion) return
     demand.namedVersion = version
     demand.namings.push({ version, atMs: this._clock.nowMs() })
-    if (demand.namings.length > REMEMBERED_NAMINGS_COUNT) demand.namings.shift()
+    if (demand.namings.length > INTERVAL_WINDOW_NAMINGS) demand.namings.shift()
   }
 
-  /** A trainer asked for a step while this version was the newest. */
+  /** Records a submitted step and the newest version at that time. */
   asked ({ model, minVersion, itemsCount }: SubmissionHead, namedVersion: number): void {
-    const demand = this._of(model, namedVersion)
+    const demand = this._demandOf(model, namedVersion)
     demand.stepItemsCount = itemsCount
     demand.stalenesses.push(Math.max(0, namedVersion - minVersion))
-    if (demand.stalenesses.length > REMEMBERED_STEPS_COUNT) demand.stalenesses.shift()
+    if (demand.stalenesses.length > STALENESS_WINDOW_STEPS) demand.stalenesses.shift()
   }
 
-  /** A sample was made whole, of so many events. */
+  /** Records the length of a complete sample. */
   made (model: string, eventsCount: number): void {
     const demand = this._demands.get(model)
     if (demand) demand.longestEventsCount = Math.max(demand.longestEventsCount, eventsCount)
   }
 
-  /** The longest sample that was seen; 0 before the first. */
+  /** Events of the longest complete sample; 0 before the first. */
   longestEventsCount (model: string): number {
     return this._demands.get(model)?.longestEventsCount ?? 0
   }
 
-  /** Versions that the samples of a step may be behind the newest one. */
+  /** How many versions behind the newest one the samples of a step may be. */
   stalenessVersions (model: string): number {
     const seen = this._demands.get(model)?.stalenesses ?? []
-    return seen.length < REMEMBERED_STEPS_COUNT ? Math.max(ASSUMED_STALENESS_VERSIONS, ...seen) : Math.max(...seen)
+    return seen.length < STALENESS_WINDOW_STEPS ? Math.max(ASSUMED_STALENESS_VERSIONS, ...seen) : Math.max(...seen)
   }
 
-  /** Time between two versions; undefined until two namings were seen. */
+  /** Mean time between two named versions; undefined until two were observed. */
   namingIntervalMs (model: string): number | undefined {
     const namings = this._demands.get(model)?.namings ?? []
     const first = namings[0]
@@ -78,12 +78,12 @@
     return (last.atMs - first.atMs) / (last.version - first.version)
   }
 
-  /** Items of its latest step; undefined before the first. */
+  /** Items of the latest step; undefined before the first. */
   stepItemsCount (model: string): number | undefined {
     return this._demands.get(model)?.stepItemsCount
   }
 
-  private _of (model: string, version: number): Demand {
+  private _demandOf (model: string, version: number): Demand {
     let demand = this._demands.get(model)
     if (!demand) {
       demand = { namedVersion: version, namings: [], stalenesses: [], stepItemsCount: undefined, longestEventsCount: 0 }
--- a/src/batches/storeProgram.ts
+++ b/src/batches/storeProgram.ts
@@ -1,6 +1,6 @@
 /**
- * The wiring of a store host: a replica of the batch store and, while it
- * leads, the dispatcher of items, the rollout of weights and retirements.
+ * Assembles a store host: a replica of the batch store and, while it leads, the
+ * item dispatcher, the weight rollout, the engine supply and host retirements.
  */
 import { DutyLease } from '../duties/dutyLease.js'
 import type { Infrastructure } from '../duties/infrastructure.js'
@@ -53,45 +53,45 @@
   hostId: string
   hostName: string
   dataCentre: string
-  /** Where the other processes of the system connect. */
+  /** Address on which the other processes of the system connect. */
   peerAddress: string
   dataFolder: string
-  /** Control hosts to begin with. */
+  /** Control hosts to contact first. */
   controlAddresses: string[]
-  /** Results can be read for so long after their batch was accepted. */
+  /** How long results can be read after their batch was accepted. */
   keepBatchesMs: number
-  /** Nothing is sent to an endpoint so long after its leave was confirmed. */
+  /** Nothing is sent to an endpoint once this time has passed since its leave was confirmed. */
   drainMs: number
-  /** Two hosts may not both order an engine within this time. */
+  /** Time within which no two hosts may both order an engine. */
   orderLeaseMs: number
-  /** A replica that was silent for so long is struck from the members. */
+  /** A replica that is unreachable for this long is removed from the members. */
   strikeSilentAfterMs: number
-  /** Bytes that the state may be counted for; none: no submission is refused for want of room. */
+  /** Limit of the estimated size of the state; undefined for no limit. Submissions above it are refused. */
   stateCapacityBytes: number | undefined
-  /** Disks that may be lost at once. */
+  /** Disks that may be lost at the same time. */
   toleratedLosses: number
 }
 
-export interface StoreProgramParts {
+export interface StoreProgramOptions {
   settings: StoreSettings
   client: EndpointClient
-  /** Absent where no engines are to be ordered. */
+  /** Absent if this deployment orders no engines. */
   infrastructure?: Infrastructure | undefined
   logger: Logger
   metrics: Metrics
   onFatal: (error: unknown) => void
 }
 
-/** A snapshot holds all batches that are kept, some tens of megabytes. Entries behind the last one stay in memory as well: 12 MB of them instead of 24 keep the peak of a busy store 20 to 30 MB lower (tests/processes/storeMemory). */
+/** A snapshot has all stored batches, some tens of megabytes. Log entries since the last one stay in memory as well: 12 MB of them instead of 24 lower the peak of a busy store by 20 to 30 MB (tests/processes/storeMemory). */
 export const storeSnapshotPolicy: SnapshotPolicy = { everyEntriesCount: 20_000, everyBytes: 12 * 1024 * 1024, keptEntriesCount: 256 }
-/** Where the view has versions from that stand in the log of the store itself. */
-const NAMED_IN_LOG = 'log of the store'
-/** A handover takes a few messages and syncs; a host that cannot hand over stops all the same. */
+/** Source name in the view for versions from the log of the store itself. */
+const STORE_LOG_SOURCE = 'log of the store'
+/** A handover takes a few messages and disk syncs; without one in time, the host stops anyway. */
 const HANDOVER_TIMEOUT_MS = 800
 const SUPPLY_COMMIT_TIMEOUT_MS = 1_000
 
 export class StoreProgram {
-  private readonly _parts: StoreProgramParts
+  private readonly _options: StoreProgramOptions
   private readonly _scope = new Scope('store')
   private readonly _supervisor: Supervisor
   private readonly _transport = new TcpTransport()
@@ -101,8 +101,8 @@
   private readonly _state = new BatchState({
     onTaken: batch => this._ages.taken(batch),
     onOrder: (endpointId, holder, lanesCount) => this._orders.learn(endpointId, holder, lanesCount),
-    onNamed: weights => this._view.merge(NAMED_IN_LOG, { weights: [weights] }),
-    onForgotten: (batch, decidedAtMs) => reportForgotten(this._parts.logger, batch, decidedAtMs)
+    onNamed: weights => this._view.merge(STORE_LOG_SOURCE, { weights: [weights] }),
+    onForgotten: (batch, decidedAtMs) => reportForgotten(this._options.logger, batch, decidedAtMs)
   })
 
   private readonly _replica: Replica
@@ -110,12 +110,12 @@
   private readonly _service: BatchService
   private readonly _commands: ControlCommands
   private readonly _quarantine: RequestQuarantine
-  /** While this host leads. */
+  /** Defined while this host leads. */
   private _dispatcher: BatchDispatcher | undefined
 
-  private constructor (parts: StoreProgramParts, opened: OpenedReplica, readMs: number) {
-    this._parts = parts
-    const { settings, logger, metrics, onFatal } = parts
+  private constructor (options: StoreProgramOptions, opened: OpenedReplica, readMs: number) {
+    this._options = options
+    const { settings, logger, metrics, onFatal } = options
     this._supervisor = new Supervisor(this._scope, (_task, error) => onFatal(error))
     this._view = new FleetView(logger)
     this._replica = new Replica({
@@ -154,11 +154,11 @@
   }
 
   /**
-   * Opens the data folder and starts to serve.
-   * @throws StorageError when the data folder cannot be used at all.
+   * Opens the data folder and starts serving.
+   * @throws StorageError if the data folder cannot be used.
    */
-  static async start (parts: StoreProgramParts): Promise<StoreProgram> {
-    const { settings, logger } = parts
+  static async start (options: StoreProgramOptions): Promise<StoreProgram> {
+    const { settings, logger } = options
     const random = systemRandom()
     const disk = await FileDisk.open(settings.dataFolder)
     const readFromMs = systemClock.nowMs()
@@ -166,45 +166,45 @@
     const readMs = systemClock.nowMs() - readFromMs
     if (opened.damage !== undefined) logger.event(ReplicationEvent.StorageDamaged, { reason: opened.damage })
     if (opened.loaded.tornBytes > 0) logger.event(ReplicationEvent.TornTailCut, { bytesCount: opened.loaded.tornBytes })
-    const program = new StoreProgram(parts, opened, readMs)
+    const program = new StoreProgram(options, opened, readMs)
     await program._start()
     return program
   }
 
-  /** Stops as planned: keeps what is under way and lets another host lead first. */
+  /** Graceful stop: stores unfinished output and hands leadership to another host first. */
   async stop (): Promise<void> {
-    this._parts.logger.event(BatchEvent.Stopping)
+    this._options.logger.event(BatchEvent.Stopping)
     const progress = new Progress(systemClock, this._scope, systemClock.nowMs() + HANDOVER_TIMEOUT_MS)
     await this._dispatcher?.keepOutputs(progress)
     await this._replica.handOver(progress)
     await this._supervisor.stop('planned stop')
   }
 
-  /** Control hosts that the settings name now. */
+  /** Replaces the control host addresses after a change of the settings. */
   followSeeds (addresses: string[]): void {
     this._follower.follow(addresses)
   }
 
   private async _start (): Promise<void> {
-    const { settings, logger, onFatal } = this._parts
+    const { settings, logger, onFatal } = this._options
     const { hostId, peerAddress, dataCentre } = settings
     const handlers = new RpcHandlers()
     this._replica.serve(handlers)
     this._service.serve(handlers)
     handlers.on(joinStoreMethod, newcomer => this._join(newcomer))
-    await this._transport.listen(peerAddress, this._scope, connection => { serveOver(connection, handlers, onFatal) })
+    await this._transport.listen(peerAddress, this._scope, connection => { servePeer(connection, handlers, onFatal) })
     this._replica.start()
     this._follower.start()
     this._quarantine.start()
     const membership = new StoreMembership({ replica: this._replica, view: this._view, clock: systemClock, logger, hostId, peerAddress, dataCentre })
     this._supervisor.spawn('membership', scope => membership.run(scope))
-    this._supervisor.spawn('gauges', scope => this._showState(scope))
+    this._supervisor.spawn('gauges', scope => this._reportGauges(scope))
     this._supervisor.spawn('leading', scope => this._leadWhenElected(scope))
     logger.event(BatchEvent.Started, { hostId, replicaId: this._replica.core.replicaId, appliedIndex: this._replica.appliedIndex })
   }
 
-  private async _showState (scope: Scope): Promise<void> {
-    const { metrics } = this._parts
+  private async _reportGauges (scope: Scope): Promise<void> {
+    const { metrics } = this._options
     const voterWatch = new VoterWatch(this._replica)
     await everySecond(systemClock, scope, () => {
       setReplicaGauges(this._replica, metrics)
@@ -220,7 +220,7 @@
   }
 
   private _describe (): FleetHost {
-    const { hostId, hostName, dataCentre, peerAddress } = this._parts.settings
+    const { hostId, hostName, dataCentre, peerAddress } = this._options.settings
     const { core, leadership } = this._replica
     const isLeader = leadership?.holdsLease() === true
     const memberIds = isLeader ? core.members.map(({ replicaId }) => replicaId) : []
@@ -244,9 +244,9 @@
   private async _lead (leadership: Leadership, scope: Scope): Promise<void> {
     const supervisor = this._supervisor.child(`dispatch in term ${leadership.term}`)
     leadership.scope.onClose(() => supervisor.scope.close('leadership over'))
-    const over = new Promise<void>(resolve => supervisor.scope.onClose(resolve))
+    const ended = new Promise<void>(resolve => supervisor.scope.onClose(resolve))
     supervisor.spawn('dispatch', taskScope => this._dispatch(leadership, supervisor, taskScope))
-    await scope.race(over)
+    await scope.race(ended)
   }
 
   private async _dispatch (leadership: Leadership, supervisor: Supervisor, scope: Scope): Promise<void> {
@@ -255,7 +255,7 @@
     const dispatcher = this._createDispatcher(supervisor)
     this._dispatcher = dispatcher
     scope.onClose(() => { this._dispatcher = undefined })
-    const { settings, client, logger, metrics } = this._parts
+    const { settings, client, logger, metrics } = this._options
     const rollout = new WeightRollout({
       clock: systemClock,
       logger,
@@ -278,7 +278,7 @@
   }
 
   private _spawnSupply (leadership: Leadership, dispatcher: BatchDispatcher, supervisor: Supervisor): void {
-    const { settings, infrastructure, logger, metrics } = this._parts
+    const { settings, infrastructure, logger, metrics } = this._options
     if (!infrastructure) return
     const ledger = this._state.supply
     const holder = settings.hostName
@@ -304,7 +304,7 @@
   }
 
   private _createQuarantine (): RequestQuarantine {
-    const { client, logger, metrics } = this._parts
+    const { client, logger, metrics } = this._options
     return new RequestQuarantine({
       view: this._view,
       clock: systemClock,
@@ -317,7 +317,7 @@
   }
 
   private _createDispatcher (supervisor: Supervisor): BatchDispatcher {
-    const { settings, client, logger, metrics } = this._parts
+    const { settings, client, logger, metrics } = this._options
     const view = this._view
     const random = systemRandom()
     const pool = new EndpointPool({ view, clock: systemClock, random, dataCentre: settings.dataCentre, logger, metrics })
@@ -327,6 +327,6 @@
   }
 }
 
-function serveOver (connection: Connection, handlers: RpcHandlers, onFatal: (error: unknown) => void): RpcPeer {
+function servePeer (connection: Connection, handlers: RpcHandlers, onFatal: (error: unknown) => void): RpcPeer {
   return new RpcPeer(connection, handlers, onFatal)
 }
--- a/src/batches/storeRetirement.ts
+++ b/src/batches/storeRetirement.ts
@@ -1,7 +1,7 @@
 /**
- * Empties store hosts that are to be taken away: the leader takes them out of
- * the members, makes sure that every replica that stays holds the whole log,
- * and only then says that the host may go.
+ * Retires store hosts: the leader removes the host from the members, waits until
+ * every remaining voter has the log up to that change, and only then reports that
+ * the host can be shut down.
  */
 import type { ControlCommands } from '../fleet/controlCommands.js'
 import type { FleetView } from '../fleet/fleetView.js'
@@ -18,7 +18,7 @@
 const REVIEW_INTERVAL_MS = 150
 const COMMAND_TIMEOUT_MS = 2_000
 
-export interface StoreRetirementParts {
+export interface StoreRetirementOptions {
   replica: Replica
   leadership: Leadership
   view: FleetView
@@ -28,14 +28,14 @@
 }
 
 export class StoreRetirement {
-  private readonly _parts: StoreRetirementParts
+  private readonly _options: StoreRetirementOptions
 
-  constructor (parts: StoreRetirementParts) {
-    this._parts = parts
+  constructor (options: StoreRetirementOptions) {
+    this._options = options
   }
 
   async run (scope: Scope): Promise<void> {
-    const { clock, view } = this._parts
+    const { clock, view } = this._options
     for (;;) {
       for (const retirement of view.openRetirements()) await this._advance(retirement, scope)
       await sleepUntil(clock, scope, clock.nowMs() + REVIEW_INTERVAL_MS)
@@ -43,22 +43,22 @@
   }
 
   private async _advance (retirement: Retirement, scope: Scope): Promise<void> {
-    const { replica, clock, commands, logger } = this._parts
+    const { replica, clock, commands, logger } = this._options
     const isMember = replica.core.members.some(({ hostId }) => hostId === retirement.hostId)
     if (isMember) {
       const outcome = replica.remove(retirement.hostId)
       logger.event(BatchEvent.HostRetired, { hostName: retirement.hostName, outcome: outcome.kind, isEmptied: false })
       return
     }
-    if (!this._isSafeElsewhere()) return
+    if (!this._isReplicatedElsewhere()) return
     const progress = new Progress(clock, scope, clock.nowMs() + COMMAND_TIMEOUT_MS)
     const reply = await commands.submit({ kind: RoutingCommandKind.EndRetirement, hostName: retirement.hostName }, progress)
     logger.event(BatchEvent.HostRetired, { hostName: retirement.hostName, outcome: reply.kind, isEmptied: true })
   }
 
-  /** Every voter that stays has the log up to the change that took the host out. */
-  private _isSafeElsewhere (): boolean {
-    const { replica, leadership } = this._parts
+  /** Whether every remaining voter has the log up to the change that removed the host. */
+  private _isReplicatedElsewhere (): boolean {
+    const { replica, leadership } = this._options
     if (!leadership.mayChangeMembers()) return false
     const { latestIndex } = replica.core.state.members
     const others = votersOf(replica.core.members).filter(({ replicaId }) => replicaId !== replica.core.replicaId)
--- a/src/batches/weightPlanner.ts
+++ b/src/batches/weightPlanner.ts
@@ -1,67 +1,67 @@
 /**
- * Which engine loads which weights next. Loads are what several trained models
- * share first: the weight store feeds only a few at a time, and every trainer
- * names a new version at each step. Bringing every engine to every version
- * would take longer than a version lasts, so each model keeps a set of engines,
- * sized to its work and to what the loads can renew, and the next load goes
- * where samples cannot start without it. Pure functions: the decision depends
- * on its arguments only.
+ * Decides which engine loads which weights next. Load bandwidth is the scarcest
+ * resource that several trained models share: the weight store sustains only a few
+ * concurrent loads, and every trainer names a new version at each step. Bringing
+ * every engine to every version would take longer than a version is current, so
+ * each model keeps a set of engines, sized to its work and to the load capacity,
+ * and the next load goes where samples cannot start without it. Pure functions:
+ * the decision depends on their arguments only.
  *
- * Three trainers on eight engines and two loads at a time: a quiet half minute
- * earned 0.91 of what its samples are worth instead of 0.82, days with faults 0.77
- * instead of 0.59 (three and fifteen played days). Sets that leave no engine out
- * earn 0.03 less than sized ones, with a fifth more loads.
+ * Measured with three trainers, eight engines and two concurrent loads: half a
+ * minute without faults earned 0.91 of the value of its samples instead of 0.82,
+ * days with faults 0.77 instead of 0.59 (three and fifteen simulated days). Sets
+ * of all engines earn 0.03 less than sized ones, with a fifth more loads.
  */
 
-/** An engine as far as loads depend on it. */
+/** The state of an engine that the plan depends on. */
 export interface PlannedEngine {
   engineId: string
-  /** It takes work and orders: not leaving, not suspect. */
-  isSound: boolean
-  /** It fails what it is given, as far as is known: its weights make no samples. */
+  /** It accepts runs and orders: neither leaving nor suspected. */
+  isAvailable: boolean
+  /** Its recent runs failed, so loading weights on it yields no samples. */
   isFailing: boolean
-  /** No load is under way there, and no order of another host may meet ours. */
-  mayBeOrdered: boolean
-  /** Time that it needs for an event. */
+  /** No load is in progress there, and no order of an earlier leadership can still arrive. */
+  acceptsOrders: boolean
+  /** Expected time between two events of a run. */
   gapMs: number
   slotsCount: number
   freeSlotsCount: number
-  /** Version that it holds of a model, or will once its load has ended. */
+  /** The version that it holds of a model, or will hold after the load in progress. */
   versionOf: (model: string) => number
 }
 
-/** A trained model as far as loads depend on it. */
+/** The state of a trained model that the plan depends on. */
 export interface PlannedModel {
   model: string
   /** The newest version that its trainer named. */
   namedVersion: number
-  /** The oldest version that may make samples of a step that is asked for now. */
+  /** The oldest version that may produce samples for a step submitted now. */
   neededVersion: number
-  /** Items that wait although they might run at once on an engine with fitting weights. */
+  /** Waiting items that could start at once on an engine with recent enough weights. */
   waitingCount: number
-  /** Items of its latest step: slots that the next one will ask for at once; undefined until a step was seen. */
+  /** Items of the latest step: the slots that the next one will need at once. Undefined before the first step. */
   stepItemsCount: number | undefined
-  /** Time between two versions; undefined until it was seen. */
-  namingIntervalMs: number | undefined
-  /** 0 is the most urgent; undefined while nothing of it is open. */
+  /** Time between two named versions; undefined until observed. */
+  versionIntervalMs: number | undefined
+  /** 0 is the most urgent; undefined while the model has no open batch. */
   priority?: number | undefined
 }
 
-/** What the loads themselves can do. */
+/** Capacity for weight loads. */
 export interface LoadCapacity {
-  /** Loads at a time that do not slow each other down. */
+  /** Concurrent loads that do not slow each other down. */
   lanesCount: number
-  /** Time that one takes. */
+  /** Duration of one load. */
   loadMs: number
 }
 
-/** In the order in which they are served. */
+/** In order of precedence. */
 export enum LoadReason {
-  /** Items wait that no engine of a set that is not whole has room for. */
+  /** Items wait, the set of engines is incomplete, and none of its engines has a free slot. */
   ItemsWait = 'items_wait',
-  /** Fewer engines than the model's share can run what is asked for now. */
+  /** Fewer engines than the size of the model's set can run its current work. */
   SetIncomplete = 'set_incomplete',
-  /** Too few engines will still do once the next version is named. */
+  /** Too few engines will remain usable once the next version is named. */
   NextVersion = 'next_version'
 }
 
@@ -72,89 +72,89 @@
   reason: LoadReason
 }
 
-/** Until two namings were seen: trainers of either deployment name a version every four seconds. */
-const ASSUMED_NAMING_INTERVAL_MS = 4_000
-/** Share of the loads that sets are sized to; the rest makes up for loads that fail and engines that are lost. With 0.6, days with faults earn 0.03 less. */
+/** Until two named versions were observed: trainers of either deployment name one every four seconds. */
+const ASSUMED_VERSION_INTERVAL_MS = 4_000
+/** Share of the load capacity that sets are sized to; the rest covers failed loads and lost engines. With 0.6, days with faults earn 0.03 less. */
 const PLANNED_LOAD_SHARE = 0.8
-/** A set has room for a step and half another: two are open at a time, and the earlier one keeps its long samples. Reasoned, not varied. */
-const STEPS_OF_ROOM = 1.5
-/** One more engine than the work needs, so that the loss of one leaves room. */
+/** Slots of a set, in steps: two steps are open at a time, and only the long samples of the earlier one still run. */
+const ROOM_IN_STEPS = 1.5
+/** Engines beyond the work, so that the loss of one leaves enough slots. */
 const SPARE_ENGINES_COUNT = 1
-/** An engine this many times slower than the fastest finishes no long sample in time, whatever it holds. */
+/** An engine this many times slower than the fastest finishes no long sample in time. */
 const TOO_SLOW_RATIO = 2
-/** Slowness that one more model on an engine weighs as much as: models that share an engine share its slots, not its pace, so that two others weigh less than an engine that is slower by 1.3. Reasoned, not varied. */
+/** Cost of each other model on an engine, in units of relative slowness: models on one engine share its slots, not its pace, so two others cost less than an engine that is slower by 1.3. */
 const SHARING_COST = 0.1
-/** Slowness that an engine without a free slot weighs as much as: its slots are free again within a second, its pace stays. Reasoned, not varied. */
+/** Cost of an engine without a free slot, in units of relative slowness: slots become free within a second, while the pace lasts. */
 const OCCUPIED_COST = 0.2
 
 /**
- * The next load that is worth its place; undefined when none is.
- * @param engines those of one service
- * @param models what the service's engines are trained for
+ * The most useful load to start next; undefined if none is needed.
+ * @param engines the engines of one service
+ * @param models the trained models of that service
  */
 export function nextLoad (engines: readonly PlannedEngine[], models: readonly PlannedModel[], capacity: LoadCapacity): PlannedLoad | undefined {
-  const sound = soundOf(engines)
-  const fastestMs = Math.min(...sound.map(({ gapMs }) => gapMs))
-  const useful = sound.filter(({ gapMs }) => gapMs < TOO_SLOW_RATIO * fastestMs)
-  const sizes = setSizes(useful, models, capacity)
-  const wants = models.map((model, position) => wantOf(model, sizes[position] ?? 0, useful)).filter(want => want !== undefined)
-  wants.sort((left, right) => rankOf(left.reason) - rankOf(right.reason) || left.coverage - right.coverage || priorityOf(left) - priorityOf(right))
-  for (const want of wants) {
-    const engine = engineFor(want, useful, models, fastestMs)
-    if (engine) return { engineId: engine.engineId, model: want.model.model, version: want.model.namedVersion, reason: want.reason }
+  const usable = usableEngines(engines)
+  const fastestMs = Math.min(...usable.map(({ gapMs }) => gapMs))
+  const fastEnough = usable.filter(({ gapMs }) => gapMs < TOO_SLOW_RATIO * fastestMs)
+  const sizes = setSizes(fastEnough, models, capacity)
+  const needs = models.map((model, position) => loadNeedOf(model, sizes[position] ?? 0, fastEnough)).filter(need => need !== undefined)
+  needs.sort((left, right) => rankOf(left.reason) - rankOf(right.reason) || left.coverage - right.coverage || priorityOf(left) - priorityOf(right))
+  for (const need of needs) {
+    const engine = engineFor(need, fastEnough, models, fastestMs)
+    if (engine) return { engineId: engine.engineId, model: need.model.model, version: need.model.namedVersion, reason: need.reason }
   }
   return undefined
 }
 
-/** Those that make samples; with none of these, whatever takes orders. */
-function soundOf (engines: readonly PlannedEngine[]): PlannedEngine[] {
-  const sound = engines.filter(({ isSound }) => isSound)
-  const working = sound.filter(({ isFailing }) => !isFailing)
-  return working.length > 0 ? working : sound
+/** Available engines that are not failing; all available ones if every one fails. */
+function usableEngines (engines: readonly PlannedEngine[]): PlannedEngine[] {
+  const available = engines.filter(({ isAvailable }) => isAvailable)
+  const succeeding = available.filter(({ isFailing }) => !isFailing)
+  return succeeding.length > 0 ? succeeding : available
 }
 
 /**
- * Engines that each model keeps, by the order of the models. A version lasts
- * for as many steps as a sample may be behind, and an engine needs a load once
- * in that time; what all loads together can renew is shared out by the slots
- * that the models' steps ask for.
+ * Number of engines that each model keeps, in the order of the models. A version
+ * is usable for as many steps as a sample may be behind, and an engine needs one
+ * load in that time. The load capacity is divided in proportion to the slots that
+ * the steps of the models need.
  */
 export function setSizes (engines: readonly PlannedEngine[], models: readonly PlannedModel[], { lanesCount, loadMs }: LoadCapacity): number[] {
   const loadsPerMs = PLANNED_LOAD_SHARE * lanesCount / loadMs
-  const neededPerMs = models.map(model => enginesForWork(model, engines) / lifetimeMs(model)).reduce((sum, perMs) => sum + perMs, 0)
+  const neededPerMs = models.map(model => neededEnginesCount(model, engines) / versionLifetimeMs(model)).reduce((sum, perMs) => sum + perMs, 0)
   const renewableShare = neededPerMs > 0 ? loadsPerMs / neededPerMs : 1
   return models.map(model => {
-    const wantedCount = enginesForWork(model, engines)
-    const renewableCount = Math.max(1, Math.floor(renewableShare * wantedCount))
-    return Math.min(engines.length, renewableCount, Math.ceil(wantedCount) + SPARE_ENGINES_COUNT)
+    const neededCount = neededEnginesCount(model, engines)
+    const renewableCount = Math.max(1, Math.floor(renewableShare * neededCount))
+    return Math.min(engines.length, renewableCount, Math.ceil(neededCount) + SPARE_ENGINES_COUNT)
   })
 }
 
-/** What is not known yet is taken for work for all. */
-function enginesForWork ({ stepItemsCount }: PlannedModel, engines: readonly PlannedEngine[]): number {
+/** Engines that the steps of a model need; all of them before its first step. */
+function neededEnginesCount ({ stepItemsCount }: PlannedModel, engines: readonly PlannedEngine[]): number {
   if (stepItemsCount === undefined) return Math.max(1, engines.length)
   const slotsCount = Math.max(1, ...engines.map(engine => engine.slotsCount))
-  return Math.max(1, STEPS_OF_ROOM * stepItemsCount / slotsCount)
+  return Math.max(1, ROOM_IN_STEPS * stepItemsCount / slotsCount)
 }
 
-/** How long an engine may run a model's samples after it loaded the version just named. */
-function lifetimeMs (model: PlannedModel): number {
-  return stepsOfLife(model) * (model.namingIntervalMs ?? ASSUMED_NAMING_INTERVAL_MS)
+/** How long an engine can run samples of a model after loading the newest version. */
+function versionLifetimeMs (model: PlannedModel): number {
+  return versionLifetimeSteps(model) * (model.versionIntervalMs ?? ASSUMED_VERSION_INTERVAL_MS)
 }
 
-function stepsOfLife ({ namedVersion, neededVersion }: PlannedModel): number {
+function versionLifetimeSteps ({ namedVersion, neededVersion }: PlannedModel): number {
   return Math.max(1, namedVersion - neededVersion + 1)
 }
 
-interface Want {
+interface LoadNeed {
   model: PlannedModel
   reason: LoadReason
-  /** Share of what it should have that it has; the lowest goes first. */
+  /** Engines that the model has, relative to those it should have; the lowest is served first. */
   coverage: number
 }
 
-/** What nobody has asked for yet goes first, as before any priority was known. */
-function priorityOf ({ model }: Want): number {
+/** A model without an open batch counts as most urgent. */
+function priorityOf ({ model }: LoadNeed): number {
   return model.priority ?? 0
 }
 
@@ -162,28 +162,28 @@
   return Object.values(LoadReason).indexOf(reason)
 }
 
-/** What a model lacks most; undefined when it lacks nothing. */
-function wantOf (model: PlannedModel, setSize: number, engines: readonly PlannedEngine[]): Want | undefined {
+/** The most important load that a model needs; undefined if it needs none. */
+function loadNeedOf (model: PlannedModel, setSize: number, engines: readonly PlannedEngine[]): LoadNeed | undefined {
   const fitting = engines.filter(engine => engine.versionOf(model.model) >= model.neededVersion)
   if (fitting.length < setSize) {
-    const isShort = model.waitingCount > 0 && fitting.every(({ freeSlotsCount }) => freeSlotsCount === 0)
-    return { model, reason: isShort ? LoadReason.ItemsWait : LoadReason.SetIncomplete, coverage: fitting.length / setSize }
+    const hasWaitingItems = model.waitingCount > 0 && fitting.every(({ freeSlotsCount }) => freeSlotsCount === 0)
+    return { model, reason: hasWaitingItems ? LoadReason.ItemsWait : LoadReason.SetIncomplete, coverage: fitting.length / setSize }
   }
-  const lastingCount = engines.filter(engine => engine.versionOf(model.model) >= model.namedVersion).length
-  const lastingWantedCount = Math.ceil(setSize / stepsOfLife(model))
-  if (lastingCount < lastingWantedCount) return { model, reason: LoadReason.NextVersion, coverage: lastingCount / lastingWantedCount }
+  const upToDateCount = engines.filter(engine => engine.versionOf(model.model) >= model.namedVersion).length
+  const wantedUpToDateCount = Math.ceil(setSize / versionLifetimeSteps(model))
+  if (upToDateCount < wantedUpToDateCount) return { model, reason: LoadReason.NextVersion, coverage: upToDateCount / wantedUpToDateCount }
   return undefined
 }
 
-/** The engine that a model gains most by, of those that may be ordered. */
-function engineFor ({ model, reason }: Want, engines: readonly PlannedEngine[], models: readonly PlannedModel[], fastestMs: number): PlannedEngine | undefined {
-  const oldest = reason === LoadReason.NextVersion ? model.namedVersion : model.neededVersion
-  let candidates = engines.filter(engine => engine.mayBeOrdered && engine.versionOf(model.model) < oldest)
+/** The engine with the lowest load cost for a model, among those that accept orders. */
+function engineFor ({ model, reason }: LoadNeed, engines: readonly PlannedEngine[], models: readonly PlannedModel[], fastestMs: number): PlannedEngine | undefined {
+  const oldestUsableVersion = reason === LoadReason.NextVersion ? model.namedVersion : model.neededVersion
+  let candidates = engines.filter(engine => engine.acceptsOrders && engine.versionOf(model.model) < oldestUsableVersion)
   if (reason === LoadReason.ItemsWait) candidates = withRoom(candidates)
-  return lowest(candidates, engine => loadCost(engine, model, models, fastestMs))
+  return minBy(candidates, engine => loadCost(engine, model, models, fastestMs))
 }
 
-/** Engines with free slots, if there are any: what waits is to start there. */
+/** Engines with free slots, so that waiting items can start there; all of them if none has one. */
 function withRoom (engines: PlannedEngine[]): PlannedEngine[] {
   const free = engines.filter(({ freeSlotsCount }) => freeSlotsCount > 0)
   return free.length > 0 ? free : engines
@@ -195,7 +195,7 @@
   return engine.gapMs / fastestMs + SHARING_COST * sharingCount + OCCUPIED_COST * occupiedShare
 }
 
-function lowest<T> (values: readonly T[], costOf: (value: T) => number): T | undefined {
+function minBy<T> (values: readonly T[], costOf: (value: T) => number): T | undefined {
   let best: T | undefined
   let lowestCost = Number.POSITIVE_INFINITY
   for (const value of values) {
--- a/src/batches/weightRollout.ts
+++ b/src/batches/weightRollout.ts
@@ -1,8 +1,8 @@
 /**
- * Brings engines to the versions of weights that trainers named. Only the
- * leader of the batch store gives orders, and it leaves an engine alone that
- * another host ordered within the lease in which two hosts may not both order.
- * What loads next is decided by `nextLoad`, from what this module observes.
+ * Brings engines to the weight versions that trainers named. Only the leader of
+ * the batch store sends load orders, and it sends none to an engine that another
+ * host ordered within the order lease. `nextLoad` decides what to load next, from
+ * the state that this module collects.
  */
 import type { EndpointClient } from '../endpoints/endpointClient.js'
 import type { FleetView } from '../fleet/fleetView.js'
@@ -17,15 +17,15 @@
 import type { BatchDispatcher } from './batchDispatcher.js'
 import type { Engine } from './engineFleet.js'
 import { ASSUMED_TOKEN_MS } from './itemOrder.js'
-import { LoadLanes } from './loadLanes.js'
+import { LoadConcurrency } from './loadLanes.js'
 import type { OrderHistory } from './orderHistory.js'
-import { ORDER_UNDER_WAY_MS, WeightLoad, type WantedLoad } from './weightLoad.js'
+import { MAX_ORDER_TRANSIT_MS, WeightLoad, type RequestedLoad } from './weightLoad.js'
 import { nextLoad, type PlannedEngine, type PlannedModel } from './weightPlanner.js'
 import type { ModelEngine } from '../protocol/routing.js'
 
-const LOOK_INTERVAL_MS = 30
+const PLANNING_INTERVAL_MS = 30
 
-export interface WeightRolloutParts {
+export interface WeightRolloutOptions {
   clock: Clock
   logger: Logger
   metrics: Metrics
@@ -36,69 +36,69 @@
   replica: Replica
   orders: OrderHistory
   supervisor: Supervisor
-  /** This host, as engines are told. */
+  /** Name of this host in orders to engines. */
   holder: string
-  /** Two hosts may not both order an engine within this time. */
+  /** Time within which no two hosts may both order an engine. */
   orderLeaseMs: number
 }
 
 export class WeightRollout {
-  private readonly _parts: WeightRolloutParts
+  private readonly _options: WeightRolloutOptions
   private readonly _load: WeightLoad
-  private readonly _lanes: LoadLanes
+  private readonly _concurrency: LoadConcurrency
   private readonly _startedAtMs: number
 
-  /** Made once the state holds everything that earlier leaders committed, their announcements among it. */
-  constructor (parts: WeightRolloutParts) {
-    this._parts = parts
-    this._lanes = new LoadLanes(parts.clock, parts.orders.lanesCount)
-    this._load = new WeightLoad({ ...parts, provenLanesCount: () => this._lanes.provenCount })
-    this._startedAtMs = parts.clock.nowMs()
+  /** To be created once the state has everything that earlier leaders committed, including their announcements. */
+  constructor (options: WeightRolloutOptions) {
+    this._options = options
+    this._concurrency = new LoadConcurrency(options.clock, options.orders.lanesCount)
+    this._load = new WeightLoad({ ...options, sustainedLoadsCount: () => this._concurrency.sustainedCount })
+    this._startedAtMs = options.clock.nowMs()
   }
 
   async run (scope: Scope): Promise<void> {
-    const { clock } = this._parts
+    const { clock } = this._options
     for (;;) {
       this._startLoads()
-      await sleepUntil(clock, scope, clock.nowMs() + LOOK_INTERVAL_MS)
+      await sleepUntil(clock, scope, clock.nowMs() + PLANNING_INTERVAL_MS)
     }
   }
 
   private _startLoads (): void {
-    for (const service of this._parts.view.routing?.services ?? []) {
+    for (const service of this._options.view.routing?.services ?? []) {
       if (service.engine) this._startLoadsOf(service.name, service.engine)
     }
   }
 
   private _startLoadsOf (service: string, modelEngine: ModelEngine): void {
-    const models = modelEngine.models.map(model => this._planned(model))
-    const engines = this._parts.dispatcher.engines.ofService(service)
-    // At most one load an engine in a look, also when the loads end at once because this host stops.
-    for (let turn = 0; turn < engines.length && !this._lanes.isFull; turn++) {
-      const next = nextLoad(engines.map(engine => this._plannedEngine(engine, modelEngine)), models, this._lanes)
+    const models = modelEngine.models.map(model => this._plannedModel(model))
+    const engines = this._options.dispatcher.engines.ofService(service)
+    // At most one load per engine and pass, also if loads end at once because this host is stopping.
+    for (let attempt = 0; attempt < engines.length && !this._concurrency.isFull; attempt++) {
+      const next = nextLoad(engines.map(engine => this._plannedEngine(engine, modelEngine)), models, this._concurrency)
       const engine = engines.find(({ id }) => id === next?.engineId)
       if (!next || !engine) return
       this._start({ engine, model: next.model, version: next.version, reason: next.reason })
     }
   }
 
-  private _start (wanted: WantedLoad): void {
+  private _start (wanted: RequestedLoad): void {
     const { engine, model, version } = wanted
-    const timed = this._lanes.begin(engine.id)
+    const timedLoad = this._concurrency.start(engine.id)
     let isLoaded = false
     engine.load = { model, version }
-    this._parts.supervisor.spawn(`load on ${engine.id}`, async scope => {
+    this._options.supervisor.spawn(`load on ${engine.id}`, async scope => {
       scope.onClose(() => {
-        this._lanes.end(timed, isLoaded)
+        this._concurrency.end(timedLoad, isLoaded)
         engine.load = undefined
-        this._parts.dispatcher.enginesChanged()
+        this._options.dispatcher.enginesChanged()
       })
       isLoaded = await this._load.run(wanted, scope)
     })
   }
 
-  private _planned (model: string): PlannedModel {
-    const { view, dispatcher } = this._parts
+  private _plannedModel (model: string): PlannedModel {
+    const { view, dispatcher } = this._options
     const { demand } = dispatcher
     const namedVersion = view.namedVersion(model)
     demand.named(model, namedVersion)
@@ -108,7 +108,7 @@
       neededVersion: Math.max(dispatcher.neededVersion(model), namedVersion - demand.stalenessVersions(model)),
       waitingCount: dispatcher.waitingCount(model),
       stepItemsCount: demand.stepItemsCount(model),
-      namingIntervalMs: demand.namingIntervalMs(model),
+      versionIntervalMs: demand.namingIntervalMs(model),
       priority: dispatcher.priorityOf(model)
     }
   }
@@ -117,8 +117,8 @@
     return {
       engineId: engine.id,
       isFailing: engine.health.isFailing,
-      isSound: !engine.health.isSuspect && engine.endpoint.lifecycle === EndpointLifecycle.Ready,
-      mayBeOrdered: engine.load === undefined && this._mayOrder(engine),
+      isAvailable: !engine.health.isSuspect && engine.endpoint.lifecycle === EndpointLifecycle.Ready,
+      acceptsOrders: engine.load === undefined && this._mayOrder(engine),
       gapMs: engine.pace.expectedGapMs ?? ASSUMED_TOKEN_MS * tokensPerEvent,
       slotsCount: engine.endpoint.slotsCount,
       freeSlotsCount: engine.freeSlotsCount,
@@ -127,15 +127,15 @@
   }
 
   /**
-   * Whether no order of an earlier leadership can meet one of this: another
-   * host's has to be older than the lease, this host's own must have arrived,
-   * so that no lower fencing number comes after a higher one.
+   * Whether no order of an earlier leadership can conflict with a new one: an order
+   * of another host must be older than the lease, and one of this host must have
+   * arrived, so that no lower fencing number follows a higher one.
    */
   private _mayOrder (engine: Engine): boolean {
-    const { clock, orders, holder, orderLeaseMs } = this._parts
+    const { clock, orders, holder, orderLeaseMs } = this._options
     const latest = orders.latest(engine.endpoint.name)
-    if (!latest || latest.learnedAtMs > this._startedAtMs) return true
+    if (!latest || latest.recordedAtMs > this._startedAtMs) return true
     const leaseMs = latest.holder === holder ? 0 : orderLeaseMs
-    return clock.nowMs() >= latest.learnedAtMs + leaseMs + ORDER_UNDER_WAY_MS
+    return clock.nowMs() >= latest.recordedAtMs + leaseMs + MAX_ORDER_TRANSIT_MS
   }
 }
--- a/tests/batches/loadLanes.test.ts
+++ b/tests/batches/loadLanes.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { LoadLanes, type TimedLoad } from '../../src/batches/loadLanes.js'
+import { LoadConcurrency, type TimedLoad } from '../../src/batches/loadLanes.js'
 import { seededRandom, type RandomSource } from '../../src/utils/randomSource.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
@@ -32,15 +32,15 @@
 /** Loads as fast as the lanes allow; what is returned are the lanes at each second. */
 async function lanesOver (seconds: number, { fedCount, stretching, slowEngineId, lateness }: Store): Promise<number[]> {
   const clock = new VirtualClock()
-  const lanes = new LoadLanes(clock)
+  const lanes = new LoadConcurrency(clock)
   const leftMs = new Map<TimedLoad, number>()
   const seen: number[] = []
   let nextEngine = 0
   for (let atMs = 0; atMs < seconds * 1_000; atMs += TICK_MS) {
     while (!lanes.isFull) {
       const engineId = `e${nextEngine++ % 12}`
-      const load = lanes.begin(engineId)
-      const stretch = stretching === Stretching.AtBeginning ? Math.max(1, load.besideCount / fedCount) : 1
+      const load = lanes.start(engineId)
+      const stretch = stretching === Stretching.AtBeginning ? Math.max(1, load.concurrentAtStartCount / fedCount) : 1
       leftMs.set(load, LOAD_MS * stretch * (engineId === slowEngineId ? 4 : 1) + (lateness ? latenessMs(lateness) : 0))
     }
     const speed = stretching === Stretching.Shared ? Math.min(1, fedCount / leftMs.size) : 1
@@ -76,8 +76,8 @@
 
 test('should learn nothing from a load that failed', async t => {
   const clock = new VirtualClock()
-  const lanes = new LoadLanes(clock)
-  const load = lanes.begin('e1')
+  const lanes = new LoadConcurrency(clock)
+  const load = lanes.start('e1')
   await clock.advance(6_000)
   lanes.end(load, false)
   t.is(lanes.lanesCount, 2)
--- a/tests/batches/weightPlanner.test.ts
+++ b/tests/batches/weightPlanner.test.ts
@@ -18,9 +18,9 @@
 function engineNamed (engineId: string, { versions = {}, ...changes }: EngineChanges = {}): PlannedEngine {
   return {
     engineId,
-    isSound: true,
+    isAvailable: true,
     isFailing: false,
-    mayBeOrdered: true,
+    acceptsOrders: true,
     gapMs: 40,
     slotsCount: SLOTS_COUNT,
     freeSlotsCount: SLOTS_COUNT,
@@ -30,7 +30,7 @@
 }
 
 function modelNamed (model: string, changes: Partial<PlannedModel> = {}): PlannedModel {
-  return { model, namedVersion: 1, neededVersion: 1, waitingCount: 0, stepItemsCount: 48, namingIntervalMs: 4_000, ...changes }
+  return { model, namedVersion: 1, neededVersion: 1, waitingCount: 0, stepItemsCount: 48, versionIntervalMs: 4_000, ...changes }
 }
 
 function enginesHolding (count: number, versions: Record<string, number>): PlannedEngine[] {
@@ -90,7 +90,7 @@
   const few = setSizes(engines, models, CAPACITY)
   const many = setSizes(engines, models, { lanesCount: 9, loadMs: 1_000 })
   few.forEach((size, position) => t.true(size < (many[position] ?? 0), `${size} and ${many[position]}`))
-  const idle = setSizes(engines, [modelNamed('a', { stepItemsCount: 4, namingIntervalMs: 240_000 })], CAPACITY)
+  const idle = setSizes(engines, [modelNamed('a', { stepItemsCount: 4, versionIntervalMs: 240_000 })], CAPACITY)
   t.true((idle[0] ?? 31) <= 2, `${idle[0]} engines for four items`)
 })
 
@@ -126,7 +126,7 @@
 
 test('should not count an engine that is suspect or crawls as one that its model has', t => {
   const engines = [
-    engineNamed('suspect', { isSound: false, versions: { a: 5 } }),
+    engineNamed('suspect', { isAvailable: false, versions: { a: 5 } }),
     engineNamed('crawling', { gapMs: 140, versions: { a: 5 } }),
     engineNamed('sound', { versions: { a: 3 } })
   ]
@@ -136,7 +136,7 @@
 
 test('should order no engine that another load holds, and want nothing when nothing is behind', t => {
   const models = [modelNamed('a', { namedVersion: 5, neededVersion: 4 })]
-  t.is(nextLoad([engineNamed('e1', { mayBeOrdered: false, versions: { a: 3 } })], models, CAPACITY), undefined)
+  t.is(nextLoad([engineNamed('e1', { acceptsOrders: false, versions: { a: 3 } })], models, CAPACITY), undefined)
   t.is(nextLoad(enginesHolding(3, { a: 5 }), models, CAPACITY), undefined)
   t.is(nextLoad([], models, CAPACITY), undefined)
 })
