--- a/tests/batches/enginePace.test.ts
+++ b/tests/batches/enginePace.test.ts
@@ -3,88 +3,88 @@
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
 /**
- * The load that these tests stand for: engines of one service of which some are
- * 1.3 times slower by nature (48 ms for an event against 37), some are slowed
- * two to four times for five to eight seconds, and all rest now and then
- * because their weights are out of date.
+ * Modelled load: engines of one service of which some are permanently 1.3 times
+ * slower (48 ms for an event against 37), some are slowed two to four times for
+ * five to eight seconds, and all are idle now and then because their weights are
+ * out of date.
  */
 const RUNS_COUNT = 6
 
-async function run (pace: EnginePace, clock: VirtualClock, gapMs: number, forMs: number): Promise<void> {
+async function recordRuns (pace: EnginePace, clock: VirtualClock, gapMs: number, forMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < forMs; passedMs += gapMs) {
     await clock.advance(gapMs)
     for (let other = 0; other < RUNS_COUNT; other++) pace.sawGap(gapMs)
   }
 }
 
-function paceOf (): { pace: EnginePace, clock: VirtualClock } {
+function createPace (): { pace: EnginePace, clock: VirtualClock } {
   const clock = new VirtualClock()
   return { pace: new EnginePace(clock), clock }
 }
 
-test('should remember what an engine is by nature while it rests', async t => {
-  const { pace, clock } = paceOf()
-  await run(pace, clock, 48, 3_000)
+test('should keep the baseline of an engine while it is idle', async t => {
+  const { pace, clock } = createPace()
+  await recordRuns(pace, clock, 48, 3_000)
   await clock.advance(20_000)
   t.is(pace.presentGapMs, undefined)
   t.is(pace.expectedGapMs, 48)
   t.false(pace.isInDoubt)
 })
 
-test('should tell a passing slowness from the nature of an engine', async t => {
-  const { pace, clock } = paceOf()
-  await run(pace, clock, 38, 6_000)
-  await run(pace, clock, 130, 8_000)
+test('should tell a temporary slowdown from the baseline of an engine', async t => {
+  const { pace, clock } = createPace()
+  await recordRuns(pace, clock, 38, 6_000)
+  await recordRuns(pace, clock, 130, 8_000)
   t.true((pace.presentGapMs ?? 0) > 120)
   t.is(pace.naturalGapMs, 38)
-  await run(pace, clock, 38, 2_000)
+  await recordRuns(pace, clock, 38, 2_000)
   t.true((pace.presentGapMs ?? 0) < 45)
   t.is(pace.naturalGapMs, 38)
 })
 
-test('should learn the nature of an engine that was slowed when it was first seen', async t => {
-  const { pace, clock } = paceOf()
-  await run(pace, clock, 130, 6_000)
-  await run(pace, clock, 38, 6_000)
+test('should find the baseline of an engine that was slowed down when it was first observed', async t => {
+  const { pace, clock } = createPace()
+  await recordRuns(pace, clock, 130, 6_000)
+  await recordRuns(pace, clock, 38, 6_000)
   t.is(pace.naturalGapMs, 38)
 })
 
-test('should be in doubt of an engine that was slowed and has rested since, until it is seen again', async t => {
-  const { pace, clock } = paceOf()
-  await run(pace, clock, 38, 6_000)
-  await run(pace, clock, 130, 3_000)
-  t.false(pace.isInDoubt, 'it is slow, without a doubt')
+test('should need a probe of an engine that was slowed down and has been idle since, until it runs again', async t => {
+  const { pace, clock } = createPace()
+  await recordRuns(pace, clock, 38, 6_000)
+  await recordRuns(pace, clock, 130, 3_000)
+  t.false(pace.isInDoubt, 'it is slow, which its events show')
   await clock.advance(5_000)
   t.true(pace.isInDoubt)
   t.is(pace.expectedGapMs, 38)
-  await run(pace, clock, 38, 200)
+  await recordRuns(pace, clock, 38, 200)
   t.false(pace.isInDoubt)
 })
 
-test('should not take events that were held up together for a fast engine', async t => {
-  const { pace, clock } = paceOf()
-  await run(pace, clock, 38, 5_000)
+test('should not take events that were delayed together for a fast engine', async t => {
+  const { pace, clock } = createPace()
+  await recordRuns(pace, clock, 38, 5_000)
   for (let second = 0; second < 5; second++) {
     await clock.advance(380)
     pace.sawGap(380)
     for (let event = 0; event < 9; event++) pace.sawGap(0)
-    await run(pace, clock, 38, 620)
+    await recordRuns(pace, clock, 38, 620)
   }
   t.true((pace.naturalGapMs ?? 0) >= 36, `${pace.naturalGapMs}`)
 })
 
-// Two events that were read at one moment made an engine twenty times as fast as the others, which then got no weights.
+// Two events that were read at the same time made an engine look twenty times faster than the others, which then got no weights.
 test('should not call an engine fast for two events that were read together', t => {
-  const { pace } = paceOf()
+  const { pace } = createPace()
   pace.sawGap(2)
   t.is(pace.presentGapMs, undefined)
   for (let gap = 0; gap < 4; gap++) pace.sawGap(40)
   t.true((pace.presentGapMs ?? 0) > 30, `${pace.presentGapMs}`)
 })
 
-test('should begin anew after a rest, with the mean of what it sees', async t => {
-  const { pace, clock } = paceOf()
-  await run(pace, clock, 150, 1_000)
+test('should start over after an idle period, with the mean of the new events', async t => {
+  const { pace, clock } = createPace()
+  await recordRuns(pace, clock, 150, 1_000)
   await clock.advance(10_000)
   for (let gap = 0; gap < 6; gap++) pace.sawGap(38)
   t.is(pace.presentGapMs, 38)
--- a/tests/batches/modelDemand.test.ts
+++ b/tests/batches/modelDemand.test.ts
@@ -4,19 +4,19 @@
 import { submission } from '../fixtures/fleet/batchFixtures.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
-/** The load that these tests stand for: a trainer that names a version at each step, and a leader that comes in the middle of a job. */
-function demandOf (): { demand: ModelDemand, clock: VirtualClock } {
+/** Modelled load: a trainer that names a version at each step, and a leader that is elected in the middle of a job. */
+function createDemand (): { demand: ModelDemand, clock: VirtualClock } {
   const clock = new VirtualClock()
   return { demand: new ModelDemand(clock), clock }
 }
 
-function stepOf (minVersion: number, itemsCount = 2) {
+function step (minVersion: number, itemsCount = 2) {
   const itemIds = Array.from({ length: itemsCount }, (_value, position) => `i${position}`)
   return Batch.accepted(submission(`b${minVersion}`, itemIds, { model: 'm', minVersion }), 0, 1).submission
 }
 
-test('should take the time between namings for the interval, not the time since it began to look', async t => {
-  const { demand, clock } = demandOf()
+test('should measure the interval between named versions, not the time since it was created', async t => {
+  const { demand, clock } = createDemand()
   demand.named('m', 7)
   await clock.advance(400)
   demand.named('m', 8)
@@ -28,8 +28,8 @@
   t.is(demand.namingIntervalMs('m'), 4_000)
 })
 
-test('should spread the interval over versions that were named together', async t => {
-  const { demand, clock } = demandOf()
+test('should average the interval over versions that were skipped', async t => {
+  const { demand, clock } = createDemand()
   demand.named('m', 1)
   demand.named('m', 2)
   await clock.advance(8_000)
@@ -37,21 +37,21 @@
   t.is(demand.namingIntervalMs('m'), 4_000)
 })
 
-test('should learn how far behind steps may be, and not from the first ones of a job, which have no older version', t => {
-  const { demand } = demandOf()
+test('should derive the staleness from recent steps, but not from the first ones of a job, which have no older version', t => {
+  const { demand } = createDemand()
   t.is(demand.stalenessVersions('m'), 1)
-  demand.asked(stepOf(1), 1)
+  demand.asked(step(1), 1)
   t.is(demand.stalenessVersions('m'), 1)
-  for (const version of [6, 7, 8]) demand.asked(stepOf(version - 3), version)
+  for (const version of [6, 7, 8]) demand.asked(step(version - 3), version)
   t.is(demand.stalenessVersions('m'), 3)
-  for (const version of [9, 10, 11]) demand.asked(stepOf(version), version)
+  for (const version of [9, 10, 11]) demand.asked(step(version), version)
   t.is(demand.stalenessVersions('m'), 0)
 })
 
-test('should know the size of the latest step and the longest sample, for each model by itself', t => {
-  const { demand } = demandOf()
+test('should record the size of the latest step and the longest sample per model', t => {
+  const { demand } = createDemand()
   t.is(demand.stepItemsCount('m'), undefined)
-  demand.asked(stepOf(1, 5), 1)
+  demand.asked(step(1, 5), 1)
   demand.made('m', 120)
   demand.made('m', 80)
   t.is(demand.stepItemsCount('m'), 5)
--- a/tests/batches/storeCapacity.test.ts
+++ b/tests/batches/storeCapacity.test.ts
@@ -13,7 +13,7 @@
 import { StoreWorld } from '../fixtures/fleet/storeWorld.js'
 
 const KEEP_MS = 60_000
-/** Room for two batches of one item of 150 expected tokens, and not for three. */
+/** Fits two batches of one item with 150 expected tokens each, but not three. */
 const CAPACITY_BYTES = 22_000
 const DEADLINE_MS = 1_500
 
@@ -24,7 +24,7 @@
   close: () => void
 }
 
-async function servedStore (stateCapacityBytes: number | undefined): Promise<ServedStore> {
+async function startServedStore (stateCapacityBytes: number | undefined): Promise<ServedStore> {
   const world = await new StoreWorld({ engines: [engine('e1', 1)] }).start()
   world.endpoints.onRun = () => ({ eventsCount: 1_000, gapMs: 1_000, version: 1 })
   const { clock, replica, state, view } = world
@@ -55,15 +55,15 @@
   return new RpcPeer(connection, handlers, error => { throw error })
 }
 
-test('should refuse a batch that a full store has no room for, at once and with a reason, and take it once another has ended', async t => {
-  const { world, submit, close } = await servedStore(CAPACITY_BYTES)
+test('should refuse a batch at once and with a reason if the store is full, and accept it once another has ended', async t => {
+  const { world, submit, close } = await startServedStore(CAPACITY_BYTES)
   t.is((await submit('b1')).kind, 'accepted')
   t.is((await submit('b2')).kind, 'accepted')
   const startedAtMs = world.clock.nowMs()
   const refused = await submit('b3')
   t.is(refused.kind, 'refused')
   t.regex('reason' in refused ? refused.reason : '', /the batch store is full: 0\.0 of 0\.0 MB are held or reserved/)
-  t.true(world.clock.nowMs() - startedAtMs < DEADLINE_MS, 'it was not asked in a loop')
+  t.true(world.clock.nowMs() - startedAtMs < DEADLINE_MS, 'the client did not retry until its deadline')
   t.is(world.state.get('b3'), undefined)
   await world.end('b1')
   t.is((await submit('b3')).kind, 'accepted')
@@ -71,8 +71,8 @@
   close()
 })
 
-test('should answer that a batch is accepted which was before, also when the store is full', async t => {
-  const { submit, close } = await servedStore(CAPACITY_BYTES)
+test('should confirm a batch that was accepted before, even if the store is full', async t => {
+  const { submit, close } = await startServedStore(CAPACITY_BYTES)
   await submit('b1')
   await submit('b2')
   t.is((await submit('b3')).kind, 'refused')
@@ -80,8 +80,8 @@
   close()
 })
 
-test('should take batches again once old ones are outdated, though no command came meanwhile', async t => {
-  const { world, submit, close } = await servedStore(CAPACITY_BYTES)
+test('should accept batches again once old ones are outdated, without a command in between', async t => {
+  const { world, submit, close } = await startServedStore(CAPACITY_BYTES)
   await submit('b1')
   await submit('b2')
   world.stopDispatching()
@@ -92,23 +92,23 @@
   close()
 })
 
-test('should reserve room for submissions that are under way together', async t => {
-  const { submitTogether, close } = await servedStore(CAPACITY_BYTES)
+test('should reserve capacity for concurrent submissions', async t => {
+  const { submitTogether, close } = await startServedStore(CAPACITY_BYTES)
   const replies = await submitTogether(['b1', 'b2', 'b3'])
   t.deepEqual(replies.map(({ kind }) => kind), ['accepted', 'accepted', 'refused'])
   close()
 })
 
-test('should reserve room for what open items are expected to make', async t => {
-  const { world, submit, close } = await servedStore(CAPACITY_BYTES)
+test('should reserve capacity for the expected output of open items', async t => {
+  const { world, submit, close } = await startServedStore(CAPACITY_BYTES)
   t.is((await submit('b1', { expectedTokensCount: 450 })).kind, 'accepted')
   t.true(world.state.heldBytes < CAPACITY_BYTES / 2)
   t.is((await submit('b2')).kind, 'refused')
   close()
 })
 
-test('should refuse nothing for want of room without a bound', async t => {
-  const { submit, close } = await servedStore(undefined)
+test('should refuse nothing without a capacity limit', async t => {
+  const { submit, close } = await startServedStore(undefined)
   for (const batchId of ['b1', 'b2', 'b3', 'b4']) t.is((await submit(batchId)).kind, 'accepted')
   close()
 })
--- a/tests/batches/storeLosses.test.ts
+++ b/tests/batches/storeLosses.test.ts
@@ -1,6 +1,6 @@
 /**
- * A batch store whose hosts lose their disks, two at a time, while it is as
- * large as all the store hosts of a deployment.
+ * A batch store whose hosts lose their disks, two at a time, with all store hosts
+ * of a deployment as members.
  */
 import test from 'ava'
 import { BatchState } from '../../src/batches/batchState.js'
@@ -12,15 +12,15 @@
 import { submission } from '../fixtures/fleet/batchFixtures.js'
 import { ReplicaCluster, type ClusterHost } from '../fixtures/replicaCluster.js'
 
-const STRIKE_AFTER_MS = 8_000
+const REMOVE_SILENT_AFTER_MS = 8_000
 const KEEP_MS = 1_000_000
-/** A host that comes back with an empty disk counts as whole again after this. */
+/** A host that returns with an empty disk has caught up after this time. */
 const CATCH_UP_MS = 6_000
 const TOLERATED_LOSSES = 2
-const PATIENCE_MS = 5_000
+const CLIENT_TIMEOUT_MS = 5_000
 /** All store hosts of a small and of a large deployment. */
 const STORE_SIZES = [10, 13]
-/** The smallest store that bears the losses. */
+/** The smallest store that tolerates the losses. */
 const SMALLEST_SIZE = 2 * TOLERATED_LOSSES + 1
 
 type StoreCluster = ReplicaCluster<BatchState>
@@ -28,7 +28,7 @@
 
 async function startStore (hostsCount: number): Promise<StoreCluster> {
   const program = { createState: () => new BatchState(), run: () => {} }
-  const cluster = new ReplicaCluster<BatchState>({ seed: 17, hostsCount, strikeSilentAfterMs: STRIKE_AFTER_MS, toleratedLosses: TOLERATED_LOSSES }, program)
+  const cluster = new ReplicaCluster<BatchState>({ seed: 17, hostsCount, strikeSilentAfterMs: REMOVE_SILENT_AFTER_MS, toleratedLosses: TOLERATED_LOSSES }, program)
   await cluster.startAll()
   await cluster.untilLeader()
   await cluster.until(() => cluster.hosts.every(host => host.running?.replica.core.isVoter()), 'all are voters')
@@ -36,7 +36,7 @@
 }
 
 function progressOf (cluster: StoreCluster): Progress {
-  return new Progress(cluster.clock, new Scope('client'), cluster.clock.nowMs() + PATIENCE_MS)
+  return new Progress(cluster.clock, new Scope('client'), cluster.clock.nowMs() + CLIENT_TIMEOUT_MS)
 }
 
 async function leaderOf (cluster: StoreCluster): Promise<{ replica: Replica, state: BatchState }> {
@@ -52,26 +52,26 @@
   return outcome.kind
 }
 
-/** Batches that a quorum does not have. */
-async function missing (cluster: StoreCluster, batchIds: string[]): Promise<string[]> {
+/** Batches that a quorum read does not find. */
+async function missingBatches (cluster: StoreCluster, batchIds: string[]): Promise<string[]> {
   const { replica, state } = await leaderOf(cluster)
   const read = await cluster.clock.advanceUntil(replica.read(ReadMode.Quorum, progressOf(cluster)))
   return read.kind === 'confirmed' ? batchIds.filter(batchId => !state.get(batchId)) : batchIds
 }
 
-/** Hosts whose present disk does not vote. */
-async function notVoting (cluster: StoreCluster): Promise<string[]> {
+/** Hosts whose current replica does not vote. */
+async function nonVotingHosts (cluster: StoreCluster): Promise<string[]> {
   const { replica } = await leaderOf(cluster)
   const voters = votersOf(replica.core.members)
   const isVoting = ({ running }: StoreHost): boolean => voters.some(({ replicaId }) => replicaId === running?.replica.core.replicaId)
   const others = voters.length - cluster.hosts.length
-  return [...cluster.hosts.filter(host => !isVoting(host)).map(({ hostId }) => hostId), ...others > 0 ? [`${others} that are gone`] : []]
+  return [...cluster.hosts.filter(host => !isVoting(host)).map(({ hostId }) => hostId), ...others > 0 ? [`${others} removed voters`] : []]
 }
 
-/** Every host loses power; some of them lose their disk too. */
-async function losePower (cluster: StoreCluster, disksOf: StoreHost[]): Promise<void> {
+/** All hosts lose power, some of them their disk too, and all start again. */
+async function losePower (cluster: StoreCluster, hostsLosingDisks: StoreHost[]): Promise<void> {
   for (const host of cluster.hosts) cluster.crash(host)
-  for (const host of disksOf) cluster.wipe(host)
+  for (const host of hostsLosingDisks) cluster.wipe(host)
   for (const host of cluster.hosts) await cluster.start(host)
 }
 
@@ -81,18 +81,18 @@
 }
 
 for (const hostsCount of STORE_SIZES) {
-  test(`should let two hosts that lost their disk vote again in time in a store of ${hostsCount}`, async t => {
+  test(`should let two hosts that lost their disk vote again in time in a store of ${hostsCount} hosts`, async t => {
     const cluster = await startStore(hostsCount)
     const [pair = []] = pairsOf(cluster)
     for (const host of pair) cluster.wipe(host)
     for (const host of pair) await cluster.start(host)
     await cluster.clock.advance(CATCH_UP_MS)
-    t.deepEqual(await notVoting(cluster), [])
+    t.deepEqual(await nonVotingHosts(cluster), [])
     t.deepEqual(cluster.violations, [])
   })
 }
 
-test('should keep every accepted batch while all disks are lost in turn, two with each loss of power', async t => {
+test('should keep every accepted batch while all disks are lost in turn, two with each power loss', async t => {
   for (const hostsCount of STORE_SIZES) {
     const cluster = await startStore(hostsCount)
     const batchIds: string[] = []
@@ -101,46 +101,46 @@
       t.is(await accept(cluster, batchId), 'committed')
       batchIds.push(batchId)
       await losePower(cluster, pair)
-      t.deepEqual(await missing(cluster, batchIds), [], `loss ${round} of ${hostsCount} hosts`)
+      t.deepEqual(await missingBatches(cluster, batchIds), [], `loss ${round} of ${hostsCount} hosts`)
       await cluster.clock.advance(CATCH_UP_MS)
     }
     t.deepEqual(cluster.violations, [])
   }
 })
 
-test('should keep a batch that was accepted while two hosts were away for long, when two others lose their disk', async t => {
+test('should keep a batch that was accepted while two hosts were down for long, when two others lose their disk', async t => {
   const cluster = await startStore(SMALLEST_SIZE)
   const [first, second, third, fourth] = cluster.hosts as [StoreHost, StoreHost, StoreHost, StoreHost]
   for (const host of [first, second]) cluster.crash(host)
-  await cluster.clock.advance(4 * STRIKE_AFTER_MS)
+  await cluster.clock.advance(4 * REMOVE_SILENT_AFTER_MS)
   t.is(await accept(cluster, 'batch'), 'committed')
   await losePower(cluster, [third, fourth])
-  t.deepEqual(await missing(cluster, ['batch']), [])
+  t.deepEqual(await missingBatches(cluster, ['batch']), [])
   t.deepEqual(cluster.violations, [])
 })
 
-test('should let a newcomer take the place of a voter that went just before it came', async t => {
+test('should let a new host replace a voter that was removed just before', async t => {
   const cluster = await startStore(SMALLEST_SIZE)
   cluster.remove(cluster.host(1))
   await cluster.start(cluster.addHost())
   await cluster.clock.advance(CATCH_UP_MS / 2)
-  t.deepEqual(await notVoting(cluster), [])
+  t.deepEqual(await nonVotingHosts(cluster), [])
 })
 
-test('should not take a host out of the members while fewer would be left than bear the losses', async t => {
+test('should not remove a member while too few would remain to tolerate the losses', async t => {
   const cluster = await startStore(SMALLEST_SIZE + 1)
   const [away, leaving, third, fourth] = cluster.hosts as [StoreHost, StoreHost, StoreHost, StoreHost]
   cluster.crash(away)
-  await cluster.clock.advance(2 * STRIKE_AFTER_MS)
+  await cluster.clock.advance(2 * REMOVE_SILENT_AFTER_MS)
   t.is((await leaderOf(cluster)).replica.remove(leaving.hostId).kind, 'refused')
   t.is(await accept(cluster, 'batch'), 'committed')
   await losePower(cluster, [third, fourth])
-  t.deepEqual(await missing(cluster, ['batch']), [])
+  t.deepEqual(await missingBatches(cluster, ['batch']), [])
   await cluster.clock.advance(CATCH_UP_MS)
   t.is((await leaderOf(cluster)).replica.remove(leaving.hostId).kind, 'accepted')
 })
 
-test('should keep every batch when two hosts were replaced at other addresses and two others lose their disk', async t => {
+test('should keep every batch when two hosts were replaced at new addresses and two others lose their disk', async t => {
   const cluster = await startStore(SMALLEST_SIZE)
   const [first, second, third, fourth] = cluster.hosts as [StoreHost, StoreHost, StoreHost, StoreHost]
   for (const host of [first, second]) cluster.remove(host)
@@ -149,8 +149,8 @@
   await cluster.clock.advance(CATCH_UP_MS)
   t.is(await accept(cluster, 'batch'), 'committed')
   await losePower(cluster, [third, fourth])
-  t.deepEqual(await missing(cluster, ['batch']), [])
+  t.deepEqual(await missingBatches(cluster, ['batch']), [])
   await cluster.clock.advance(CATCH_UP_MS)
-  t.deepEqual(await notVoting(cluster), [])
+  t.deepEqual(await nonVotingHosts(cluster), [])
   t.deepEqual(cluster.violations, [])
 })
--- a/tests/batches/storeMembersFuzz.test.ts
+++ b/tests/batches/storeMembersFuzz.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { fuzzMembers } from '../fixtures/storeMembersRuns.js'
 
-test('should keep all that was acknowledged in 40 random runs of a store whose hosts lose disks, power and their places', async t => {
+test('should keep everything acknowledged in 40 random runs of a store whose hosts lose disks, lose power and are replaced', async t => {
   t.timeout(280_000)
   const { acknowledged, disksLost, replaced, retired } = await fuzzMembers([5, 6, 10], 40)
   t.log(`${acknowledged} acknowledged, ${disksLost} disks lost, ${replaced} hosts replaced, ${retired} retired`)
--- a/tests/batches/storePlacementFuzz.test.ts
+++ b/tests/batches/storePlacementFuzz.test.ts
@@ -3,7 +3,7 @@
 import { fuzzMembers } from '../fixtures/storeMembersRuns.js'
 import { TOLERATED_LOSSES } from '../fixtures/storeMembersSteps.js'
 
-test('should keep all that was acknowledged in 40 random runs of a store in which most hosts hold nothing until they are needed', async t => {
+test('should keep everything acknowledged in 40 random runs of a store in which most hosts are not members until they are needed', async t => {
   t.timeout(280_000)
   const { acknowledged, disksLost, replaced, retired } = await fuzzMembers([6, 8, 12], 40, placementFor(TOLERATED_LOSSES))
   t.log(`${acknowledged} acknowledged, ${disksLost} disks lost, ${replaced} hosts replaced, ${retired} retired`)
--- a/tests/batches/storeSnapshots.test.ts
+++ b/tests/batches/storeSnapshots.test.ts
@@ -1,7 +1,6 @@
 /**
- * Snapshots of a state that is many times a piece: what is written, sent and
- * read at a time stays small, and a leader that is lost in the middle of a
- * transfer costs nothing but time.
+ * Snapshots of a state of many pieces: each write, transfer and read stays small,
+ * and the loss of the leader during a transfer only delays it.
  */
 import test from 'ava'
 import { BatchState } from '../../src/batches/batchState.js'
@@ -13,13 +12,13 @@
 import { ReplicaCluster, type ClusterHost } from '../fixtures/replicaCluster.js'
 
 const KEEP_MS = 1_000_000
-const PATIENCE_MS = 5_000
+const CLIENT_TIMEOUT_MS = 5_000
 const BATCHES_COUNT = 40
 const ITEMS_PER_BATCH = 8
 const TEXT_BYTES = 20_000
-/** All texts together: about thirteen pieces of a transfer. */
+/** Size of all texts: about thirteen pieces of a transfer. */
 const STATE_BYTES = BATCHES_COUNT * ITEMS_PER_BATCH * TEXT_BYTES
-/** A piece of a transfer, or of a snapshot with its 64 results. */
+/** Above the size of a transferred piece, and of a snapshot piece with its 64 results. */
 const LARGEST_STEP_BYTES = 1.5 * 1024 * 1024
 const snapshotPolicy: SnapshotPolicy = { everyEntriesCount: 100, everyBytes: 1 << 30, keptEntriesCount: 2 }
 
@@ -37,7 +36,7 @@
 
 async function propose (cluster: StoreCluster, command: unknown): Promise<void> {
   const { running } = await cluster.untilLeader()
-  const progress = new Progress(cluster.clock, new Scope('client'), cluster.clock.nowMs() + PATIENCE_MS)
+  const progress = new Progress(cluster.clock, new Scope('client'), cluster.clock.nowMs() + CLIENT_TIMEOUT_MS)
   const outcome = await cluster.clock.advanceUntil(running?.replica.propose(command, progress) ?? Promise.resolve({ kind: 'not running' }))
   if (outcome.kind !== 'committed') throw new Error(outcome.kind)
 }
@@ -67,7 +66,7 @@
   return (host.running?.replica.appliedIndex ?? 0) >= Math.max(...others.map(({ running }) => running?.replica.appliedIndex ?? 0)) && contentOf(host) !== '[]'
 }
 
-test('should write, send and read a large state in pieces, and hold the same on a disk that was lost', async t => {
+test('should write, send and read a large state in pieces, and restore it on a host that lost its disk', async t => {
   const cluster = await startStore(1)
   await fill(cluster)
   const leader = await cluster.untilLeader()
@@ -80,12 +79,12 @@
   for (const { disk, hostId } of cluster.hosts) t.true(disk.largestStepBytes < LARGEST_STEP_BYTES, `${hostId}: ${disk.largestStepBytes} bytes in one step`)
   cluster.crash(wiped)
   await cluster.start(wiped)
-  await cluster.until(() => hasCaughtUp(cluster, wiped), 'it has started from what it received')
+  await cluster.until(() => hasCaughtUp(cluster, wiped), 'it has restored the received snapshot')
   t.is(contentOf(wiped), contentOf(leader))
   t.deepEqual([...cluster.violations, ...cluster.stopped], [])
 })
 
-test('should receive a snapshot whole whose leader is lost in the middle of the transfer', async t => {
+test('should receive a complete snapshot when the leader is lost during the transfer', async t => {
   for (const lostAfterMs of [1, 4, 9, 14]) {
     const cluster = await startStore(lostAfterMs)
     await fill(cluster)
@@ -95,7 +94,7 @@
     await cluster.start(wiped)
     while (!wiped.disk.names().includes('incoming.tmp')) await cluster.clock.advance(1)
     await cluster.clock.advance(lostAfterMs)
-    t.true(wiped.disk.names().includes('incoming.tmp'), `the transfer goes on ${lostAfterMs} ms later`)
+    t.true(wiped.disk.names().includes('incoming.tmp'), `the transfer is still in progress ${lostAfterMs} ms later`)
     cluster.crash(leader)
     await cluster.clock.advance(1_500)
     await cluster.start(leader)
--- a/tests/batches/trainersFuzz.test.ts
+++ b/tests/batches/trainersFuzz.test.ts
@@ -3,20 +3,20 @@
 
 const RUNS_COUNT = Number(process.env.TRAINER_RUNS ?? 12)
 const FIRST_SEED = Number(process.env.TRAINER_SEED ?? 1)
-/** Runs in which trainers hardly ask for steps would prove nothing. */
-const LEAST_STEPS_PER_RUN = 6
+/** Fewer steps would make the runs meaningless. */
+const MIN_STEPS_PER_RUN = 6
 
-async function playAll (t: ExecutionContext, isInstantsOnly: boolean): Promise<void> {
+async function runAll (t: ExecutionContext, isMomentaryOnly: boolean): Promise<void> {
   t.timeout(280_000)
   let stepsCount = 0
   for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS_COUNT; seed++) {
-    const run = await runTrainers(seed, isInstantsOnly)
-    t.deepEqual(run.violations, [], `seed ${seed}: ${run.disturbances.join(', ')}`)
+    const run = await runTrainers(seed, isMomentaryOnly)
+    t.deepEqual(run.violations, [], `seed ${seed}: ${run.faults.join(', ')}`)
     stepsCount += run.stepsCount
   }
-  t.true(stepsCount >= LEAST_STEPS_PER_RUN * RUNS_COUNT, `${stepsCount} steps`)
+  t.true(stepsCount >= MIN_STEPS_PER_RUN * RUNS_COUNT, `${stepsCount} steps`)
 }
 
-test('should keep engines and steps busy in random runs of instants', async t => await playAll(t, true))
+test('should keep engines and steps busy in random runs with momentary faults', async t => await runAll(t, true))
 
-test('should keep engines and steps busy in random runs of failures', async t => await playAll(t, false))
+test('should keep engines and steps busy in random runs with all faults', async t => await runAll(t, false))
--- a/tests/batches/weightPlanner.test.ts
+++ b/tests/batches/weightPlanner.test.ts
@@ -2,11 +2,10 @@
 import { LoadReason, nextLoad, setSizes, type LoadCapacity, type PlannedEngine, type PlannedModel } from '../../src/batches/weightPlanner.js'
 
 /**
- * The load that these tests stand for: several models in training share the
- * engines of one service, each trainer names a version about every four
- * seconds, a load takes about one second, and the weight store feeds two at a
- * time: eight loads in the time in which every engine would need one of each
- * model.
+ * Modelled load: several models in training share the engines of one service, each
+ * trainer names a version about every four seconds, a load takes about one second,
+ * and the weight store sustains two at a time: eight loads in the time in which
+ * every engine would need one of each model.
  */
 const CAPACITY: LoadCapacity = { lanesCount: 2, loadMs: 1_000 }
 const SLOTS_COUNT = 12
@@ -37,13 +36,13 @@
   return Array.from({ length: count }, (_value, position) => engineNamed(`e${position}`, { versions }))
 }
 
-/** Carries loads out at once until none is wanted. */
-function loadsUntilContent (engines: PlannedEngine[], models: PlannedModel[], capacity = CAPACITY) {
+/** Completes each planned load at once, until none is needed. */
+function loadsUntilNoneNeeded (engines: PlannedEngine[], models: PlannedModel[], capacity = CAPACITY) {
   const loads = []
   for (let load = nextLoad(engines, models, capacity); load; load = nextLoad(engines, models, capacity)) {
     const { engineId, model, version } = load
     loads.push(load)
-    if (loads.length > 100) throw new Error('the planner is never content')
+    if (loads.length > 100) throw new Error('the planner still wants loads after 100')
     const engine = engines.find(other => other.engineId === engineId)
     if (!engine) throw new Error(`unknown engine ${engineId}`)
     const { versionOf } = engine
@@ -52,7 +51,7 @@
   return loads
 }
 
-test('should give the next load to the model that has the fewest engines, not to one that has enough', t => {
+test('should give the next load to the model with the fewest engines, not to one that has enough', t => {
   const engines = [
     ...enginesHolding(2, { a: 5, b: 5, c: 3 }),
     engineNamed('x', { versions: { a: 5, b: 3, c: 3 } }),
@@ -75,16 +74,16 @@
   t.is(load?.reason, LoadReason.ItemsWait)
 })
 
-test('should ask for no more loads than the store can feed while a version lasts', t => {
+test('should plan no more loads than the store sustains while a version is current', t => {
   const models = ['a', 'b', 'c'].map(model => modelNamed(model, { namedVersion: 5, neededVersion: 4 }))
   const engines = enginesHolding(8, { a: 4, b: 4, c: 4 })
-  const loads = loadsUntilContent(engines, models)
-  const feedable = 4_000 * CAPACITY.lanesCount / CAPACITY.loadMs
+  const loads = loadsUntilNoneNeeded(engines, models)
+  const sustainableCount = 4_000 * CAPACITY.lanesCount / CAPACITY.loadMs
   t.true(loads.length >= models.length, `${loads.length} loads`)
-  t.true(loads.length <= feedable, `${loads.length} loads of ${feedable}`)
+  t.true(loads.length <= sustainableCount, `${loads.length} loads of ${sustainableCount}`)
 })
 
-test('should keep sets of more engines where the store feeds more, and none larger than the work needs', t => {
+test('should keep larger sets of engines if the store sustains more loads, and none larger than the work needs', t => {
   const engines = enginesHolding(31, {})
   const models = ['a', 'b', 'c', 'd'].map(model => modelNamed(model, { namedVersion: 5, neededVersion: 4, stepItemsCount: 96 }))
   const few = setSizes(engines, models, CAPACITY)
@@ -98,33 +97,33 @@
   const engines = enginesHolding(8, { a: 3 })
   const models = [modelNamed('a', { namedVersion: 5, neededVersion: 4, stepItemsCount: 108 })]
   t.deepEqual(setSizes(engines, models, CAPACITY), [8])
-  t.is(loadsUntilContent(engines, models).length, 8)
+  t.is(loadsUntilNoneNeeded(engines, models).length, 8)
 })
 
-test('should bring half of a set to a new version when the other half still does for one step more', t => {
+test('should bring half of a set to a new version when the other half remains usable for one more step', t => {
   const engines = enginesHolding(8, { a: 4 })
   const models = [modelNamed('a', { namedVersion: 5, neededVersion: 4, stepItemsCount: 108 })]
-  const loads = loadsUntilContent(engines, models)
+  const loads = loadsUntilNoneNeeded(engines, models)
   t.is(loads.length, 4)
   t.true(loads.every(({ reason }) => reason === LoadReason.NextVersion))
 })
 
-test('should load engines that are fast first, and none that can finish no long sample', t => {
+test('should load fast engines first, and none that is too slow for long samples', t => {
   const slow = engineNamed('slow', { gapMs: 52, versions: { a: 3 } })
   const crawling = engineNamed('crawling', { gapMs: 140, versions: { a: 3 } })
   const fast = engineNamed('fast', { gapMs: 38, versions: { a: 3 } })
   const models = [modelNamed('a', { namedVersion: 5, neededVersion: 4 })]
-  const loads = loadsUntilContent([crawling, slow, fast], models)
+  const loads = loadsUntilNoneNeeded([crawling, slow, fast], models)
   t.deepEqual(loads.map(({ engineId }) => engineId), ['fast', 'slow'])
 })
 
-test('should spread models over engines rather than heap them on one', t => {
+test('should spread models over engines rather than concentrate them on one', t => {
   const engines = [engineNamed('shared', { versions: { a: 3, b: 5, c: 5 } }), engineNamed('own', { versions: { a: 3, b: 3, c: 3 } })]
   const models = ['a', 'b', 'c'].map(model => modelNamed(model, { namedVersion: 5, neededVersion: 4, stepItemsCount: model === 'a' ? 48 : 1 }))
   t.deepEqual(nextLoad(engines, models, CAPACITY)?.engineId, 'own')
 })
 
-test('should not count an engine that is suspect or crawls as one that its model has', t => {
+test('should not count an engine that is suspected or very slow towards its model', t => {
   const engines = [
     engineNamed('suspect', { isAvailable: false, versions: { a: 5 } }),
     engineNamed('crawling', { gapMs: 140, versions: { a: 5 } }),
@@ -134,23 +133,23 @@
   t.is(load?.engineId, 'sound')
 })
 
-test('should order no engine that another load holds, and want nothing when nothing is behind', t => {
+test('should order no engine that is loading, and plan nothing when every engine is up to date', t => {
   const models = [modelNamed('a', { namedVersion: 5, neededVersion: 4 })]
   t.is(nextLoad([engineNamed('e1', { acceptsOrders: false, versions: { a: 3 } })], models, CAPACITY), undefined)
   t.is(nextLoad(enginesHolding(3, { a: 5 }), models, CAPACITY), undefined)
   t.is(nextLoad([], models, CAPACITY), undefined)
 })
 
-// An engine that failed all runs was always empty, and got the loads that the others needed.
-test('should count no engine that fails what it is given for a model, and load nothing there while others will do', t => {
+// An engine that failed all runs always had free slots, and got the loads that the others needed.
+test('should not count a failing engine for a model, and load nothing there while others are usable', t => {
   const failing = engineNamed('failing', { isFailing: true, versions: { a: 5 } })
   const busy = enginesHolding(6, { a: 3 }).map(engine => ({ ...engine, freeSlotsCount: 1 }))
-  const loads = loadsUntilContent([failing, ...busy], [modelNamed('a', { namedVersion: 5, neededVersion: 5 })], { lanesCount: 9, loadMs: 1_000 })
+  const loads = loadsUntilNoneNeeded([failing, ...busy], [modelNamed('a', { namedVersion: 5, neededVersion: 5 })], { lanesCount: 9, loadMs: 1_000 })
   t.true(loads.length > 0)
   t.false(loads.some(({ engineId }) => engineId === 'failing'))
 })
 
-test('should load where it can when all engines fail', t => {
+test('should load on failing engines when all engines fail', t => {
   const engines = enginesHolding(3, { a: 3 }).map(engine => ({ ...engine, isFailing: true }))
   t.truthy(nextLoad(engines, [modelNamed('a', { namedVersion: 5, neededVersion: 5 })], CAPACITY))
 })
--- a/tests/batches/weightRollout.test.ts
+++ b/tests/batches/weightRollout.test.ts
@@ -6,13 +6,13 @@
 
 const LEASE_MS = 3_000
 /** Longest time from the announcement of an order to its arrival: 300 ms to send, 300 ms to be answered. */
-const UNDER_WAY_MS = 600
+const MAX_ORDER_TRANSIT_MS = 600
 
 function engines (count: number): FleetEndpoint[] {
   return Array.from({ length: count }, (_value, position) => engine(`e${position}`, 1))
 }
 
-test('should leave an engine alone that another host ordered within the lease, and order the others at once', async t => {
+test('should not order an engine that another host ordered within the lease, and order the others at once', async t => {
   const world = await new StoreWorld({ engines: engines(2), orderLeaseMs: LEASE_MS }).start()
   world.view.merge('control-1', { weights: [{ model: 'hints-model', version: 2 }] })
   await world.clock.advance(2_000)
@@ -25,13 +25,13 @@
   await world.clock.advance(8_000)
   const [second, third] = world.endpoints.orders.slice(1)
   t.not(second?.endpointId, first?.endpointId)
-  t.true((second?.atMs ?? 0) - ledSinceMs < 100, 'the engine that nobody ordered is ordered at once')
+  t.true((second?.atMs ?? 0) - ledSinceMs < 100, 'the engine without an earlier order is ordered at once')
   t.is(third?.endpointId, first?.endpointId)
   t.true((third?.atMs ?? 0) - (first?.atMs ?? 0) >= LEASE_MS)
   world.close()
 })
 
-test('should leave an engine alone that another host ordered within the lease, also when it has started again since', async t => {
+test('should not order an engine that another host ordered within the lease, even if it has restarted since', async t => {
   const weights = [{ model: 'hints-model', version: 1 }]
   const earlier = incarnation('e1', 1_000, { service: 'engines', weights })
   const world = await new StoreWorld({ engines: [earlier], orderLeaseMs: LEASE_MS }).start()
@@ -48,7 +48,7 @@
   world.close()
 })
 
-test('should leave an engine alone whose order is known from a snapshot only', async t => {
+test('should not order an engine within the lease if its order is only known from a snapshot', async t => {
   const world = await new StoreWorld({ engines: engines(1), orderLeaseMs: LEASE_MS }).start()
   world.view.merge('control-1', { weights: [{ model: 'hints-model', version: 3 }] })
   await world.clock.advance(2_000)
@@ -64,7 +64,7 @@
   world.close()
 })
 
-test('should send no order whose announcement is not on the disks of a quorum in time', async t => {
+test('should send no order whose announcement is not committed in time', async t => {
   const world = await new StoreWorld({ engines: engines(1), orderLeaseMs: LEASE_MS }).start()
   world.disk.syncMs = 700
   world.view.merge('control-1', { weights: [{ model: 'hints-model', version: 3 }] })
@@ -76,13 +76,13 @@
   world.close()
 })
 
-test('should let no more engines load at once than the store feeds, and order each version once for an engine', async t => {
-  const fedCount = 2
+test('should let no more engines load at once than the store sustains, and order each version once per engine', async t => {
+  const sustainedCount = 2
   const world = await new StoreWorld({ engines: engines(6), orderLeaseMs: 0 }).start()
   let endsAtMs: number[] = []
   const busyCount = (): number => endsAtMs.filter(atMs => atMs > world.clock.nowMs()).length
   world.endpoints.onOrder = () => {
-    const loadMs = 900 * Math.max(1, (busyCount() + 1) / fedCount)
+    const loadMs = 900 * Math.max(1, (busyCount() + 1) / sustainedCount)
     endsAtMs = [...endsAtMs, world.clock.nowMs() + loadMs]
     return { outcome: { kind: 'underWay' }, loadMs }
   }
@@ -95,16 +95,16 @@
       busyCounts.push(busyCount())
     }
   }
-  t.is(Math.max(...busyCounts), fedCount + 1, 'one more is tried')
-  const tried = busyCounts.filter(count => count > fedCount).length
-  t.true(tried < busyCounts.length / 10, `${tried} of ${busyCounts.length} looks found more than the store feeds`)
+  t.is(Math.max(...busyCounts), sustainedCount + 1, 'the limit is raised by one as a trial')
+  const aboveCount = busyCounts.filter(count => count > sustainedCount).length
+  t.true(aboveCount < busyCounts.length / 10, `${aboveCount} of ${busyCounts.length} samples show more loads than the store sustains`)
   const ordered = world.endpoints.orders.map(({ endpointId, version }) => `${endpointId}@${version}`)
   t.is(new Set(ordered).size, ordered.length)
   t.is(new Set(world.endpoints.orders.map(({ endpointId }) => endpointId)).size, 6)
   world.close()
 })
 
-test('should load only some of the engines while what the others hold still does', async t => {
+test('should load only some of the engines while the versions of the others are still usable', async t => {
   const world = await new StoreWorld({ engines: engines(4), orderLeaseMs: 0 }).start()
   await world.clock.advance(400)
   world.view.merge('control-1', { weights: [{ model: 'hints-model', version: 2 }] })
@@ -113,7 +113,7 @@
   world.close()
 })
 
-test('should name in each order how many the engine had taken, so that a late one is void', async t => {
+test('should state in each order how many the engine had accepted, so that it rejects a late one', async t => {
   const world = await new StoreWorld({ engines: engines(1), orderLeaseMs: 0 }).start()
   await world.clock.advance(400)
   for (const version of [3, 5]) {
@@ -125,7 +125,7 @@
   world.close()
 })
 
-test('should load at once what an open batch needs', async t => {
+test('should load the version that an open batch needs at once', async t => {
   const world = await new StoreWorld({ engines: engines(2), orderLeaseMs: 0 }).start()
   await world.clock.advance(400)
   world.endpoints.onRun = () => ({ eventsCount: 2, gapMs: 10, version: 3 })
@@ -136,7 +136,7 @@
   world.close()
 })
 
-test('should order again when an order had no effect', async t => {
+test('should repeat an order that had no effect', async t => {
   const world = await new StoreWorld({ engines: engines(1), orderLeaseMs: 0 }).start()
   await world.clock.advance(400)
   world.endpoints.onOrder = () => ({ outcome: { kind: 'unknown', reason: 'no answer' }, loadMs: world.endpoints.orders.length === 1 ? 1_000_000 : 500 })
@@ -148,7 +148,7 @@
   world.close()
 })
 
-test('should wait until its own orders of an earlier leadership have arrived, so that no lower fencing number comes after a higher one', async t => {
+test('should wait until its own orders of an earlier leadership have arrived, so that no lower fencing number follows a higher one', async t => {
   const world = await new StoreWorld({ engines: engines(1), orderLeaseMs: LEASE_MS }).start()
   world.view.merge('control-1', { weights: [{ model: 'hints-model', version: 3 }] })
   await world.clock.advance(1_000)
@@ -159,11 +159,11 @@
   world.dispatch()
   await world.clock.advance(4_000)
   const gapMs = (world.endpoints.orders[1]?.atMs ?? 0) - (first?.atMs ?? 0)
-  t.true(gapMs >= UNDER_WAY_MS && gapMs < LEASE_MS, `${gapMs} ms`)
+  t.true(gapMs >= MAX_ORDER_TRANSIT_MS && gapMs < LEASE_MS, `${gapMs} ms`)
   world.close()
 })
 
-test('should order again soon what an engine left unanswered and did not take', async t => {
+test('should soon repeat an order that an engine neither answered nor accepted', async t => {
   const world = await new StoreWorld({ engines: engines(1), orderLeaseMs: 0 }).start()
   await world.clock.advance(400)
   world.endpoints.onOrder = () => ({ outcome: { kind: 'unknown', reason: 'no answer' }, loadMs: 500, isLost: world.endpoints.orders.length <= 3 })
@@ -177,8 +177,8 @@
   world.close()
 })
 
-// Each new leader began with two loads at a time, so that weights came slowest where all had to be loaded anew: after a loss of power.
-test('should go on with as many loads at a time as the leader before', async t => {
+// Each new leader started with two concurrent loads, so weights arrived slowest after a power loss, when all engines had to load again.
+test('should start with as many concurrent loads as the previous leader', async t => {
   const world = await new StoreWorld({ engines: engines(12), orderLeaseMs: 0 }).start()
   let endsAtMs: number[] = []
   const busyCount = (): number => endsAtMs.filter(atMs => atMs > world.clock.nowMs()).length
