--- a/src/batches/enginePace.ts
+++ b/src/batches/enginePace.ts
@@ -21,7 +21,7 @@
 const BUCKET_MS = 1_000
 /** Buckets with fewer gaps are discarded. */
 const MIN_BUCKET_GAPS_COUNT = 8
-/** Buckets that are kept; a temporary slowdown affects fewer than most of them. */
+/** Number of buckets kept: enough that a temporary slowdown covers only a minority of them. */
 const MAX_BUCKETS_COUNT = 60
 /** Quantile of the bucket means that gives the baseline: low, because a slowdown only lengthens gaps. */
 const BASELINE_QUANTILE = 0.2
--- a/src/batches/orderHistory.ts
+++ b/src/batches/orderHistory.ts
@@ -16,7 +16,7 @@
 export class OrderHistory {
   private readonly _clock: Clock
   private readonly _latestOrders = new Map<string, AnnouncedOrder>()
-  private _lanesCount: number | undefined
+  private _sustainedLoadsCount: number | undefined
 
   constructor (clock: Clock) {
     this._clock = clock
@@ -24,13 +24,13 @@
 
   /** Replaces the engine's earlier announcement. */
   learn (name: string, holder: string, lanesCount: number | undefined): void {
-    this._lanesCount = lanesCount ?? this._lanesCount
+    this._sustainedLoadsCount = lanesCount ?? this._sustainedLoadsCount
     this._latestOrders.set(name, { holder, recordedAtMs: this._clock.nowMs() })
   }
 
   /** Concurrent loads that the weight store sustained under the leader that announced last; undefined when no announcement has the number. */
   get lanesCount (): number | undefined {
-    return this._lanesCount
+    return this._sustainedLoadsCount
   }
 
   /** The latest announced order to an engine. */
--- a/src/batches/storeProgram.ts
+++ b/src/batches/storeProgram.ts
@@ -82,7 +82,7 @@
   onFatal: (error: unknown) => void
 }
 
-/** A snapshot has all stored batches, some tens of megabytes. Log entries since the last one stay in memory as well: 12 MB of them instead of 24 lower the peak of a busy store by 20 to 30 MB (tests/processes/storeMemory). */
+/** A snapshot has all stored batches, some tens of megabytes. Log entries since the last one stay in memory as well: 12 MB of them instead of 24 lower the peak memory of a busy store by 20 to 30 MB (tests/processes/storeMemory). */
 export const storeSnapshotPolicy: SnapshotPolicy = { everyEntriesCount: 20_000, everyBytes: 12 * 1024 * 1024, keptEntriesCount: 256 }
 /** Source name in the view for versions from the log of the store itself. */
 const STORE_LOG_SOURCE = 'log of the store'
--- a/src/batches/weightLoad.ts
+++ b/src/batches/weightLoad.ts
@@ -67,39 +67,39 @@
   }
 
   /**
-   * Returns once no part of the load is in progress. True if the engine accepted the
-   * order at once and reached the version, so that the duration reflects the store.
+   * Returns once no part of the load is in progress. True if the engine confirmed the
+   * order and then reached the version, so that the duration reflects the store.
    */
-  async run (wanted: RequestedLoad, scope: Scope): Promise<boolean> {
-    const { engine, model, version } = wanted
+  async run (requested: RequestedLoad, scope: Scope): Promise<boolean> {
+    const { engine, model, version } = requested
     const before = await this._report(engine, scope)
     if (!before) {
       return false
     }
     this._recordReport(engine, before)
-    const outcome = before.isBusy || engine.version(model) >= version ? undefined : await this._order(wanted, before, scope)
-    const isLoaded = await this._settle(wanted, before, outcome, scope)
+    const outcome = before.isBusy || engine.version(model) >= version ? undefined : await this._order(requested, before, scope)
+    const isLoaded = await this._settle(requested, before, outcome, scope)
     if (!isLoaded && outcome?.kind !== 'unknown') await this._pause(scope)
     return isLoaded && outcome?.kind === 'underWay'
   }
 
   /** Waits for the outcome of an order and reports it; true if the engine holds the version. */
-  private async _settle (wanted: RequestedLoad, before: EndpointReport, outcome: OrderOutcome | undefined, scope: Scope): Promise<boolean> {
-    const isLoaded = await this._waitForOutcome(wanted, before, outcome, scope)
-    const { engine, model, version } = wanted
+  private async _settle (requested: RequestedLoad, before: EndpointReport, outcome: OrderOutcome | undefined, scope: Scope): Promise<boolean> {
+    const isLoaded = await this._waitForOutcome(requested, before, outcome, scope)
+    const { engine, model, version } = requested
     this._options.metrics.count(MetricName.OrderSettled, { outcome: outcome?.kind ?? 'not_sent' })
     this._options.logger.event(BatchEvent.OrderSettled, { endpointId: engine.id, model, version, outcome: outcome?.kind ?? 'not sent', isLoaded })
     return isLoaded
   }
 
-  private async _waitForOutcome (wanted: RequestedLoad, before: EndpointReport, outcome: OrderOutcome | undefined, scope: Scope): Promise<boolean> {
-    const { engine, model, version } = wanted
+  private async _waitForOutcome (requested: RequestedLoad, before: EndpointReport, outcome: OrderOutcome | undefined, scope: Scope): Promise<boolean> {
+    const { engine, model, version } = requested
     switch (outcome?.kind) {
       case 'underWay':
-        return await this._waitUntilLoaded(wanted, scope)
+        return await this._waitUntilLoaded(requested, scope)
       case 'unknown':
         // An order that was not accepted is sent again at once; the expected count of orders makes the engine reject the first one if it arrives later.
-        return await this._wasAccepted(wanted, before, scope) && await this._waitUntilLoaded(wanted, scope)
+        return await this._wasAccepted(requested, before, scope) && await this._waitUntilLoaded(requested, scope)
       case 'alreadyHolds':
         engine.learnVersion(model, version)
         return true
--- a/src/batches/weightRollout.ts
+++ b/src/batches/weightRollout.ts
@@ -82,8 +82,8 @@
     }
   }
 
-  private _start (wanted: RequestedLoad): void {
-    const { engine, model, version } = wanted
+  private _start (requested: RequestedLoad): void {
+    const { engine, model, version } = requested
     const timedLoad = this._concurrency.start(engine.id)
     let isLoaded = false
     engine.load = { model, version }
@@ -93,7 +93,7 @@
         engine.load = undefined
         this._options.dispatcher.enginesChanged()
       })
-      isLoaded = await this._load.run(wanted, scope)
+      isLoaded = await this._load.run(requested, scope)
     })
   }
 
--- a/tests/batches/enginePace.test.ts
+++ b/tests/batches/enginePace.test.ts
@@ -31,7 +31,7 @@
   t.false(pace.isInDoubt)
 })
 
-test('should tell a temporary slowdown from the baseline of an engine', async t => {
+test('should distinguish a temporary slowdown from the baseline of an engine', async t => {
   const { pace, clock } = createPace()
   await recordRuns(pace, clock, 38, 6_000)
   await recordRuns(pace, clock, 130, 8_000)
--- a/tests/batches/modelDemand.test.ts
+++ b/tests/batches/modelDemand.test.ts
@@ -28,7 +28,7 @@
   t.is(demand.namingIntervalMs('m'), 4_000)
 })
 
-test('should average the interval over versions that were skipped', async t => {
+test('should average the interval over skipped versions', async t => {
   const { demand, clock } = createDemand()
   demand.named('m', 1)
   demand.named('m', 2)
--- a/tests/batches/trainers.test.ts
+++ b/tests/batches/trainers.test.ts
@@ -47,7 +47,7 @@
   const world = await start(t)
   for (const engine of world.engines.all.slice(0, 2)) engine.failShare = FAIL_SHARE
   await world.run(OBSERVATION_MS)
-  t.is(world.givenUpCount(), 0)
+  t.is(world.abandonedCount(), 0)
   t.true(world.engines.failedRunsCount <= 150, `${world.engines.failedRunsCount} runs were failed`)
   t.deepEqual(world.violations, [])
   t.deepEqual(world.lostSteps().map(({ batchId }) => batchId), [])
@@ -60,7 +60,7 @@
   for (const itemId of badIds) world.engines.failingItemIds.add(itemId)
   await world.run(OBSERVATION_MS)
   t.deepEqual(world.violations, [])
-  t.is(world.givenUpCount(), 0)
+  t.is(world.abandonedCount(), 0)
   t.true(world.engines.failedRunsCount <= 9 * badIds.length, `${world.engines.failedRunsCount} runs were failed`)
   t.deepEqual(world.lostSteps().filter(({ model, number }) => model !== 'm0' || number > 1).map(({ batchId }) => batchId), [])
 })
--- a/tests/batches/weightRollout.test.ts
+++ b/tests/batches/weightRollout.test.ts
@@ -48,7 +48,7 @@
   world.close()
 })
 
-test('should not order an engine within the lease if its order is only known from a snapshot', async t => {
+test('should not order an engine within the lease if its latest order is only known from a snapshot', async t => {
   const world = await new StoreWorld({ engines: engines(1), orderLeaseMs: LEASE_MS }).start()
   world.view.merge('control-1', { weights: [{ model: 'hints-model', version: 3 }] })
   await world.clock.advance(2_000)
@@ -125,7 +125,7 @@
   world.close()
 })
 
-test('should load the version that an open batch needs at once', async t => {
+test('should load at once the version that an open batch needs', async t => {
   const world = await new StoreWorld({ engines: engines(2), orderLeaseMs: 0 }).start()
   await world.clock.advance(400)
   world.endpoints.onRun = () => ({ eventsCount: 2, gapMs: 10, version: 3 })
