--- a/src/batches/loadLanes.ts
+++ b/src/batches/loadLanes.ts
@@ -23,7 +23,7 @@
 const MIN_SLOWED_LOADS_COUNT = 2
 /** Tolerance for the shortest load, whose end may have been reported late by one polling interval as well. */
 const CONCLUSIVE_TOLERANCE_RATIO = 1.05
-/** Loads at full speed that confirm the limit: for a single one, another load may have just ended without a report that shows it yet. */
+/** Loads at full speed that confirm the limit. One is not enough: when it started, another load may have just ended without a report that shows it. */
 const MIN_FULL_SPEED_LOADS_COUNT = 2
 /** Time without an increase after a slowdown; it doubles with each further slowdown. An increase that fails costs one load half a second. */
 const INITIAL_BACKOFF_MS = 5_000
--- a/src/batches/weightPlanner.ts
+++ b/src/batches/weightPlanner.ts
@@ -9,8 +9,8 @@
  *
  * Measured with three trainers, eight engines and two concurrent loads: half a
  * minute without faults earned 0.91 of the value of its samples instead of 0.82,
- * days with faults 0.77 instead of 0.59 (three and fifteen simulated days). Sets
- * of all engines earn 0.03 less than sized ones, with a fifth more loads.
+ * days with faults 0.77 instead of 0.59 (three and fifteen test days). Sets of
+ * all engines earn 0.03 less than sized ones, with a fifth more loads.
  */
 
 /** The state of an engine that the plan depends on. */
--- a/tests/batches/weightPlanner.test.ts
+++ b/tests/batches/weightPlanner.test.ts
@@ -46,7 +46,7 @@
     const engine = engines.find(other => other.engineId === engineId)
     if (!engine) throw new Error(`unknown engine ${engineId}`)
     const { versionOf } = engine
-    engine.versionOf = asked => (asked === model ? version : versionOf(asked))
+    engine.versionOf = requestedModel => (requestedModel === model ? version : versionOf(requestedModel))
   }
   return loads
 }
--- a/tests/batches/weightRollout.test.ts
+++ b/tests/batches/weightRollout.test.ts
@@ -6,7 +6,7 @@
 
 const LEASE_MS = 3_000
 /** Longest time from the announcement of an order to its arrival: 300 ms to send, 300 ms to be answered. */
-const MAX_ORDER_TRANSIT_MS = 600
+const ANNOUNCEMENT_TO_ARRIVAL_MS = 600
 
 function engines (count: number): FleetEndpoint[] {
   return Array.from({ length: count }, (_value, position) => engine(`e${position}`, 1))
@@ -159,7 +159,7 @@
   world.dispatch()
   await world.clock.advance(4_000)
   const gapMs = (world.endpoints.orders[1]?.atMs ?? 0) - (first?.atMs ?? 0)
-  t.true(gapMs >= MAX_ORDER_TRANSIT_MS && gapMs < LEASE_MS, `${gapMs} ms`)
+  t.true(gapMs >= ANNOUNCEMENT_TO_ARRIVAL_MS && gapMs < LEASE_MS, `${gapMs} ms`)
   world.close()
 })
 
