--- a/src/replication/log/clusterFormation.ts
+++ b/src/replication/log/clusterFormation.ts
@@ -38,15 +38,15 @@
 export type JoinCall = (via: IdentifyReply, newcomer: Omit<Member, 'role'>, progress: Progress) => Promise<string>
 
 const RETRY_MS = 250
-const ASK_TIMEOUT_MS = 1_000
-const LOG_EVERY_TRIES_COUNT = 20
+const REQUEST_TIMEOUT_MS = 1_000
+const LOG_INTERVAL_TRIES_COUNT = 20
 /** A member that hears of no leader for so long asks whether it still is one. */
-const LEADERLESS_MS = 3_000
+const LEADERLESS_TIMEOUT_MS = 3_000
 
 export class ClusterFormation {
   private readonly _core: ReplicaCore
   private readonly _links: PeerLinks
-  private readonly _own: OwnAddresses
+  private readonly _ownAddresses: OwnAddresses
   private readonly _options: FormationOptions
   private readonly _join: JoinCall
   private _triesCount = 0
@@ -54,34 +54,34 @@
   constructor (core: ReplicaCore, links: PeerLinks, own: OwnAddresses, options: FormationOptions, join: JoinCall) {
     this._core = core
     this._links = links
-    this._own = own
+    this._ownAddresses = own
     this._options = options
     this._join = join
   }
 
   /** Sees to it that the replica is among the members of a cluster, also after it was struck from them. */
   async run (scope: Scope): Promise<void> {
-    const { clock } = this._core.parts
+    const { clock } = this._core.options
     await this._finishFormation(scope)
     for (;;) {
       if (!this._isMember()) await this._tryOnce(scope)
-      else if (this._isLeaderless()) await this._askWhetherStruck(scope)
+      else if (this._isLeaderless()) await this._rejoinIfRemoved(scope)
       await sleepUntil(clock, scope, clock.nowMs() + RETRY_MS)
     }
   }
 
   private _isLeaderless (): boolean {
-    const { clock } = this._core.parts
-    return this._core.role !== ReplicaRole.Leader && clock.nowMs() - this._core.quietSinceMs > LEADERLESS_MS
+    const { clock } = this._core.options
+    return this._core.role !== ReplicaRole.Leader && clock.nowMs() - this._core.quietSinceMs > LEADERLESS_TIMEOUT_MS
   }
 
   /** The others know a leader that does not call: it has struck this replica while it was silent. */
-  private async _askWhetherStruck (scope: Scope): Promise<void> {
+  private async _rejoinIfRemoved (scope: Scope): Promise<void> {
     const known = [...this._core.members, ...this._options.initialMembers]
-    const others = known.filter(({ hostId }, position) => hostId !== this._own.hostId && known.findIndex(other => other.hostId === hostId) === position)
+    const others = known.filter(({ hostId }, position) => hostId !== this._ownAddresses.hostId && known.findIndex(other => other.hostId === hostId) === position)
     const answers = await Promise.all(others.map(member => this._identify(member, scope)))
-    const led = answers.find(answer => answer?.clusterId === this._core.clusterId && answer.leader !== undefined && answer.leader.hostId !== this._own.hostId)
-    if (led) await this._askToJoin(led, scope)
+    const memberWithLeader = answers.find(answer => answer?.clusterId === this._core.clusterId && answer.leader !== undefined && answer.leader.hostId !== this._ownAddresses.hostId)
+    if (memberWithLeader) await this._requestJoin(memberWithLeader, scope)
   }
 
   /** Only a committed entry counts: a leader may have taken the replica in and lost that again. */
@@ -98,36 +98,36 @@
   }
 
   private async _tryOnce (scope: Scope): Promise<void> {
-    const others = this._options.initialMembers.filter(member => member.hostId !== this._own.hostId)
+    const others = this._options.initialMembers.filter(member => member.hostId !== this._ownAddresses.hostId)
     const answers = (await Promise.all(others.map(member => this._identify(member, scope)))).filter(answer => answer !== undefined)
     const { clusterId } = this._core
     const member = answers.find(answer => answer.clusterId !== null && answer.clusterId === (clusterId ?? answer.clusterId))
     if (clusterId !== null && !member) return
-    if (member) return await this._askToJoin(member, scope)
+    if (member) return await this._requestJoin(member, scope)
     const isComplete = answers.length === others.length && others.length + 1 === this._options.initialMembers.length
-    if (!isComplete || !this._options.mayForm) return this._logWaiting(others, answers)
-    if (this._options.initialMembers.every(member => this._own.hostId <= member.hostId)) await this._form(answers, scope)
+    if (!isComplete || !this._options.mayForm) return this._logWaitingForMembers(others, answers)
+    if (this._options.initialMembers.every(member => this._ownAddresses.hostId <= member.hostId)) await this._form(answers, scope)
   }
 
   private async _identify (member: InitialMember, scope: Scope): Promise<IdentifyReply | undefined> {
-    const { clock } = this._core.parts
-    const progress = new Progress(clock, scope, clock.nowMs() + ASK_TIMEOUT_MS)
+    const { clock } = this._core.options
+    const progress = new Progress(clock, scope, clock.nowMs() + REQUEST_TIMEOUT_MS)
     const outcome = await this._links.to(member).call(identifyMethod, {}, progress)
-    const isMeant = outcome.kind === 'replied' && outcome.body.hostId === member.hostId
-    return isMeant ? outcome.body : undefined
+    const isExpectedHost = outcome.kind === 'replied' && outcome.body.hostId === member.hostId
+    return isExpectedHost ? outcome.body : undefined
   }
 
-  private async _askToJoin (via: IdentifyReply, scope: Scope): Promise<void> {
-    const { clock, logger } = this._core.parts
-    const progress = new Progress(clock, scope, clock.nowMs() + ASK_TIMEOUT_MS)
-    const answer = await this._join(via, { replicaId: this._core.replicaId, ...this._own }, progress)
-    if (this._triesCount++ % LOG_EVERY_TRIES_COUNT === 0) logger.event(ReplicationEvent.JoinAsked, { viaHostId: via.hostId, answer })
+  private async _requestJoin (via: IdentifyReply, scope: Scope): Promise<void> {
+    const { clock, logger } = this._core.options
+    const progress = new Progress(clock, scope, clock.nowMs() + REQUEST_TIMEOUT_MS)
+    const answer = await this._join(via, { replicaId: this._core.replicaId, ...this._ownAddresses }, progress)
+    if (this._triesCount++ % LOG_INTERVAL_TRIES_COUNT === 0) logger.event(ReplicationEvent.JoinRequested, { viaHostId: via.hostId, answer })
   }
 
   private async _form (answers: IdentifyReply[], scope: Scope): Promise<void> {
-    const { clock, random, logger } = this._core.parts
+    const { clock, random, logger } = this._core.options
     const clusterId = random.id()
-    const own: Member = { replicaId: this._core.replicaId, ...this._own, role: MemberRole.Voter }
+    const own: Member = { replicaId: this._core.replicaId, ...this._ownAddresses, role: MemberRole.Voter }
     const others = answers.map(({ replicaId, hostId, peerAddress, operatorAddress }) => (
       { replicaId, hostId, peerAddress, operatorAddress, role: MemberRole.Voter }
     ))
@@ -139,9 +139,9 @@
     logger.event(ReplicationEvent.ClusterFormed, { clusterId, hostIds: [own, ...others].map(member => member.hostId) })
   }
 
-  private _logWaiting (others: InitialMember[], answers: IdentifyReply[]): void {
-    if (this._triesCount++ % LOG_EVERY_TRIES_COUNT !== 0) return
+  private _logWaitingForMembers (others: InitialMember[], answers: IdentifyReply[]): void {
+    if (this._triesCount++ % LOG_INTERVAL_TRIES_COUNT !== 0) return
     const silent = others.filter(member => !answers.some(answer => answer.hostId === member.hostId))
-    this._core.parts.logger.event(ReplicationEvent.WaitingForMembers, { hostIds: silent.map(member => member.hostId) })
+    this._core.options.logger.event(ReplicationEvent.WaitingForMembers, { hostIds: silent.map(member => member.hostId) })
   }
 }
--- a/src/replication/log/durableWriter.ts
+++ b/src/replication/log/durableWriter.ts
@@ -18,7 +18,7 @@
 /** One write takes no more than about this. */
 const MAX_BATCH_BYTES = 4 * 1024 * 1024
 /** Pause before a write that a full disk has refused is tried again. */
-const FULL_RETRY_MS = 100
+const DISK_FULL_RETRY_MS = 100
 
 type Job =
   | { kind: 'records', records: LogRecord[] }
@@ -31,7 +31,7 @@
   private readonly _clock: Clock
   private readonly _metrics: Metrics
   private readonly _logger: Logger
-  private readonly _work = new Signal()
+  private readonly _jobAdded = new Signal()
   private readonly _jobs: Job[] = []
   private _enqueuedCount = 0
   private _durableCount = 0
@@ -78,7 +78,7 @@
    */
   async run (scope: Scope): Promise<void> {
     for (;;) {
-      while (this._jobs.length === 0) await this._work.wait(scope)
+      while (this._jobs.length === 0) await this._jobAdded.wait(scope)
       const job = this._jobs[0]
       if (job?.kind === 'compaction') await this._compact(job.compaction, scope)
       else await this._writeBatch(scope)
@@ -89,22 +89,22 @@
   private _enqueue (job: Job): number {
     this._jobs.push(job)
     this._enqueuedCount++
-    this._work.notify()
+    this._jobAdded.notify()
     return this._enqueuedCount
   }
 
   private async _compact (compaction: Compaction, scope: Scope): Promise<void> {
     this._jobs.shift()
     const startedAtMs = this._clock.nowMs()
-    await this._untilThereIsRoom(scope, () => this._storage.compact(compaction))
+    await this._retryWhileDiskFull(scope, () => this._storage.compact(compaction))
     this._metrics.timing(MetricName.SnapshotWriteMs, this._clock.nowMs() - startedAtMs)
     this._durableCount++
   }
 
   private async _writeBatch (scope: Scope): Promise<void> {
-    const { records, jobsCount } = this._takeBatch()
+    const { records, jobsCount } = this._dequeueBatch()
     const startedAtMs = this._clock.nowMs()
-    await this._untilThereIsRoom(scope, () => this._storage.append(records))
+    await this._retryWhileDiskFull(scope, () => this._storage.append(records))
     this._metrics.timing(MetricName.LogSyncMs, this._clock.nowMs() - startedAtMs)
     this._durableCount += jobsCount
     const lastEntry = records.findLast(record => record.kind === 'entry')
@@ -112,7 +112,7 @@
   }
 
   /** Repeats a write that a full disk refuses. Meanwhile nothing is durable here, so nothing is answered that relies on it. */
-  private async _untilThereIsRoom (scope: Scope, write: () => Promise<void>): Promise<void> {
+  private async _retryWhileDiskFull (scope: Scope, write: () => Promise<void>): Promise<void> {
     let isLogged = false
     for (;;) {
       try {
@@ -122,11 +122,11 @@
         if (!isLogged) this._logger.event(ReplicationEvent.DiskFull, { error: error.message })
         isLogged = true
       }
-      await sleepUntil(this._clock, scope, this._clock.nowMs() + FULL_RETRY_MS)
+      await sleepUntil(this._clock, scope, this._clock.nowMs() + DISK_FULL_RETRY_MS)
     }
   }
 
-  private _takeBatch (): { records: LogRecord[], jobsCount: number } {
+  private _dequeueBatch (): { records: LogRecord[], jobsCount: number } {
     const records: LogRecord[] = []
     let bytes = 0
     let jobsCount = 0
--- a/src/replication/log/followerProgress.ts
+++ b/src/replication/log/followerProgress.ts
@@ -14,7 +14,7 @@
 export class FollowerProgress {
   readonly member: Member
   /** Notified when there may be something to send. */
-  readonly wanted = new Signal()
+  readonly sendRequested = new Signal()
   /** The next entry to send. */
   nextIndex: number
   /** The follower has synced the log up to here. */
@@ -26,16 +26,16 @@
   /** The same for the leader's lease, by the clock that counts suspensions; nothing before its first answer. */
   ackedLeaseMs = Number.NEGATIVE_INFINITY
   /** Since when it is called by this leader. */
-  readonly calledSinceMs: number
+  readonly contactedSinceMs: number
   /** Number of the heartbeat sent last. */
-  sentRound = 0
+  lastHeartbeatRound = 0
 
   /** @param startedAtMs when the leader's term of office began */
   constructor (member: Member, nextIndex: number, startedAtMs: number, nowMs: number) {
     this.member = member
     this.nextIndex = nextIndex
     this.ackedSentAtMs = startedAtMs
-    this.calledSinceMs = nowMs
+    this.contactedSinceMs = nowMs
   }
 
   acknowledge (round: number, { sentAtMs, leaseMs }: SentAt): void {
@@ -44,7 +44,7 @@
     this.ackedLeaseMs = Math.max(this.ackedLeaseMs, leaseMs)
   }
 
-  matched (index: number): void {
+  recordMatch (index: number): void {
     this.matchIndex = Math.max(this.matchIndex, index)
     this.nextIndex = this.matchIndex + 1
   }
--- a/src/replication/log/following.ts
+++ b/src/replication/log/following.ts
@@ -14,7 +14,7 @@
 import { SnapshotReceiver } from './snapshotReceiver.js'
 
 /** A piece that a full disk has refused is asked for again after this; well under the time that the leader waits for an answer (1 s). */
-const FULL_PAUSE_MS = 300
+const DISK_FULL_PAUSE_MS = 300
 
 export class Following {
   private readonly _core: ReplicaCore
@@ -26,7 +26,7 @@
     this._core = core
     this._applier = applier
     this._scope = scope
-    this._receiver = new SnapshotReceiver(core.parts.storage, piece => applier.reuse(piece))
+    this._receiver = new SnapshotReceiver(core.options.storage, piece => applier.reuse(piece))
   }
 
   async onAppend (request: AppendRequest): Promise<AppendReply> {
@@ -60,42 +60,42 @@
     if (request.term < core.term) return { kind: 'staleTerm', term: core.term }
     core.follow(request.term, request.fromReplicaId)
     // What is committed here already agrees with the leader's log.
-    if (request.lastIndex <= core.commitIndex) return await this._matchedAt(core.commitIndex, request.term)
-    core.snapshots.noteArriving(request.lastIndex)
+    if (request.lastIndex <= core.commitIndex) return await this._installedAt(core.commitIndex, request.term)
+    core.snapshotStats.noteArriving(request.lastIndex)
     const received = await this._scope.race(this._receiver.receive(request))
     switch (received.kind) {
       case 'complete':
-        return await this._onWhole(received.snapshot, request.term)
+        return await this._onSnapshotComplete(received.snapshot, request.term)
       case 'incomplete':
         return { kind: 'expecting', offsetBytes: received.offsetBytes }
       case 'full':
-        return await this._onFull(received.offsetBytes, received.reason)
+        return await this._onDiskFull(received.offsetBytes, received.reason)
     }
   }
 
   /** The leader sends the piece again; the pause keeps it from doing so in a loop. */
-  private async _onFull (offsetBytes: number, reason: string): Promise<SnapshotReply> {
-    const { clock, logger } = this._core.parts
+  private async _onDiskFull (offsetBytes: number, reason: string): Promise<SnapshotReply> {
+    const { clock, logger } = this._core.options
     logger.event(ReplicationEvent.DiskFull, { error: reason })
-    await sleepUntil(clock, this._scope, clock.nowMs() + FULL_PAUSE_MS)
+    await sleepUntil(clock, this._scope, clock.nowMs() + DISK_FULL_PAUSE_MS)
     return { kind: 'expecting', offsetBytes }
   }
 
   /** The disk took its time: terms may have changed, and entries may have come, since the last piece was sent. */
-  private async _onWhole (snapshot: Snapshot, term: number): Promise<SnapshotReply> {
+  private async _onSnapshotComplete (snapshot: Snapshot, term: number): Promise<SnapshotReply> {
     const core = this._core
     if (core.term !== term || snapshot.lastIndex <= core.commitIndex) {
-      await this._scope.race(core.parts.storage.discardSnapshot(snapshot))
-      return core.term === term ? await this._matchedAt(core.commitIndex, term) : { kind: 'staleTerm', term: core.term }
+      await this._scope.race(core.options.storage.discardSnapshot(snapshot))
+      return core.term === term ? await this._installedAt(core.commitIndex, term) : { kind: 'staleTerm', term: core.term }
     }
     core.state.install(snapshot)
     core.commitIndex = snapshot.lastIndex
     this._applier.restore(snapshot)
-    core.parts.logger.event(ReplicationEvent.SnapshotInstalled, { lastIndex: snapshot.lastIndex, bytesCount: snapshot.lengthBytes, tookMs: core.snapshots.noteInstalled(snapshot.lengthBytes) })
-    return await this._matchedAt(snapshot.lastIndex, term)
+    core.options.logger.event(ReplicationEvent.SnapshotInstalled, { lastIndex: snapshot.lastIndex, bytesCount: snapshot.lengthBytes, tookMs: core.snapshotStats.noteInstalled(snapshot.lengthBytes) })
+    return await this._installedAt(snapshot.lastIndex, term)
   }
 
-  private async _matchedAt (matchIndex: number, term: number): Promise<SnapshotReply> {
+  private async _installedAt (matchIndex: number, term: number): Promise<SnapshotReply> {
     await this._core.settled(this._scope)
     if (this._core.term !== term) return { kind: 'staleTerm', term: this._core.term }
     return { kind: 'installed', matchIndex }
--- a/src/replication/log/handover.ts
+++ b/src/replication/log/handover.ts
@@ -26,9 +26,9 @@
 
   /** Returns once another replica leads, no other can, or the deadline has passed. */
   async run (progress: Progress): Promise<void> {
-    const { logger } = this._core.parts
+    const { logger } = this._core.options
     this._leadership.isHandingOver = true
-    const successor = await this._untilOneIsWhole(progress)
+    const successor = await this._waitForCaughtUpVoter(progress)
     if (!successor) {
       // Nobody else can lead: going on is better than nobody leading.
       this._leadership.isHandingOver = false
@@ -41,24 +41,24 @@
     this._core.stepDown(`handed over to ${successor.hostId}`)
     logger.event(ReplicationEvent.HandedOver, { term, hostId: successor.hostId })
     const outcome = await this._links.to(successor).call(campaignMethod, request, progress)
-    if (outcome.kind === 'replied' && outcome.body.kind === 'campaigning') await this._untilFollowing(progress)
+    if (outcome.kind === 'replied' && outcome.body.kind === 'campaigning') await this._waitForNewLeader(progress)
   }
 
   /** The live voter that has matched everything, once there is one. */
-  private async _untilOneIsWhole (progress: Progress): Promise<Member | undefined> {
+  private async _waitForCaughtUpVoter (progress: Progress): Promise<Member | undefined> {
     while (!progress.isOver() && !this._leadership.scope.isClosed) {
       const { lastIndex } = this._core.state.log
       const others = votersOf(this._core.members).filter(({ replicaId }) => replicaId !== this._core.replicaId)
       const live = others.filter(({ replicaId }) => this._leadership.isLive(replicaId))
       if (live.length === 0) return undefined
-      const whole = live.find(({ replicaId }) => (this._leadership.progressOf(replicaId)?.matchIndex ?? 0) >= lastIndex)
-      if (whole) return whole
+      const caughtUp = live.find(({ replicaId }) => (this._leadership.progressOf(replicaId)?.matchIndex ?? 0) >= lastIndex)
+      if (caughtUp) return caughtUp
       await this._leadership.acknowledged.wait(progress.scope, progress)
     }
     return undefined
   }
 
-  private async _untilFollowing (progress: Progress): Promise<void> {
+  private async _waitForNewLeader (progress: Progress): Promise<void> {
     while (!this._core.leader && !progress.isOver()) await this._core.leaderChanged.wait(progress.scope, progress)
   }
 }
--- a/src/replication/log/leadership.ts
+++ b/src/replication/log/leadership.ts
@@ -14,7 +14,7 @@
 import { encodeMembership } from './membershipHistory.js'
 import { isVoter, quorumValue, type Member } from './members.js'
 import type { PeerLinks } from './peerLinks.js'
-import { Replication, type ReplicationListener } from './replication.js'
+import { FollowerReplicator, type ReplicationListener } from './replication.js'
 import type { ReplicaCore } from './replicaCore.js'
 
 interface FollowerTasks {
@@ -29,7 +29,7 @@
   readonly scope: Scope
   /** Notified whenever a follower has answered. */
   readonly acknowledged = new Signal()
-  wantedRound = 0
+  requestedRound = 0
   /** It ends as planned: no further entry is taken, so that a follower can hold all of them. */
   isHandingOver = false
   private readonly _core: ReplicaCore
@@ -38,7 +38,7 @@
   private readonly _followers = new Map<string, FollowerTasks>()
   private readonly _startedAtMs: number
   private _round = 0
-  private _isNoticePlanned = false
+  private _isCommitNoticeScheduled = false
   private _firstIndex = 0
   /** Ticket of this term's first entry: before it, what the writer says belongs to earlier leaders. */
   private _firstTicket = 0
@@ -49,15 +49,15 @@
     this._supervisor = supervisor
     this.scope = supervisor.scope
     this.term = core.term
-    this._startedAtMs = core.parts.clock.nowMs()
+    this._startedAtMs = core.options.clock.nowMs()
   }
 
   /** Leads until the leadership ends. */
   async run (): Promise<void> {
     this._firstTicket = this._append(EntryKind.Empty, NO_PAYLOAD)
     this._firstIndex = this._core.state.log.lastIndex
-    this._adjustFollowers()
-    this._supervisor.spawn('own progress', scope => this._followWriter(scope))
+    this._updateFollowers()
+    this._supervisor.spawn('own progress', scope => this._watchWriter(scope))
     try {
       await this._checkQuorum()
     } catch (error) {
@@ -79,7 +79,7 @@
   /** Puts new members into the log; they count at once. */
   changeMembers (members: Member[]): number {
     this._append(EntryKind.Membership, encodeMembership({ clusterId: this._core.clusterId ?? '', members }))
-    this._adjustFollowers()
+    this._updateFollowers()
     return this._core.state.log.lastIndex
   }
 
@@ -90,24 +90,24 @@
   /** Whether a replica has answered within an election timeout. */
   isLive (replicaId: string): boolean {
     if (replicaId === this._core.replicaId) return true
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     const progress = this.progressOf(replicaId)
     return progress !== undefined && progress.ackedRound > 0 && progress.ackedSentAtMs >= clock.nowMs() - timings.electionMaxMs
   }
 
   /** When a replica last answered; the start of the leadership for one that has not. */
-  heardAtMs (replicaId: string): number {
+  lastSeenAtMs (replicaId: string): number {
     if (replicaId === this._core.replicaId) return Number.POSITIVE_INFINITY
     return this.progressOf(replicaId)?.ackedSentAtMs ?? this._startedAtMs
   }
 
   /** Until when no other leader can have been elected, by this host's clock that counts suspensions. */
   get leaseEndsAtMs (): number {
-    return this._quorumValue(progress => progress.ackedLeaseMs) + this._core.parts.timings.leaderLeaseMs
+    return this._quorumValue(progress => progress.ackedLeaseMs) + this._core.options.timings.leaderLeaseMs
   }
 
   holdsLease (): boolean {
-    return !this.scope.isClosed && this._core.parts.clock.leaseNowMs() < this.leaseEndsAtMs
+    return !this.scope.isClosed && this._core.options.clock.leaseNowMs() < this.leaseEndsAtMs
   }
 
   /**
@@ -121,8 +121,8 @@
     }
     const index = this._core.commitIndex
     const round = this._round
-    this.wantedRound = round + 1
-    for (const { progress: follower } of this._followers.values()) follower.wanted.notify()
+    this.requestedRound = round + 1
+    for (const { progress: follower } of this._followers.values()) follower.sendRequested.notify()
     while (this._quorumValue(follower => follower.ackedRound) <= round) {
       if (!(await this.acknowledged.wait(this.scope, progress))) return undefined
     }
@@ -149,14 +149,14 @@
 
   private _append (kind: EntryKind, payload: Uint8Array): number {
     const { log } = this._core.state
-    const atMs = Math.max(log.lastAtMs, this._core.parts.clock.wallMs())
+    const atMs = Math.max(log.lastAtMs, this._core.options.clock.wallMs())
     const ticket = this._core.state.append([{ index: log.lastIndex + 1, term: this.term, kind, atMs, payload }])
-    for (const { progress } of this._followers.values()) progress.wanted.notify()
+    for (const { progress } of this._followers.values()) progress.sendRequested.notify()
     return ticket
   }
 
   /** Starts and ends the tasks of followers as the members change. */
-  private _adjustFollowers (): void {
+  private _updateFollowers (): void {
     const others = this._core.members.filter(member => member.replicaId !== this._core.replicaId)
     for (const [replicaId, tasks] of this._followers) {
       if (others.some(member => member.replicaId === replicaId)) continue
@@ -169,15 +169,15 @@
   }
 
   private _startFollower (member: Member): void {
-    const progress = new FollowerProgress(member, this._core.state.log.lastIndex, this._startedAtMs, this._core.parts.clock.nowMs())
+    const progress = new FollowerProgress(member, this._core.state.log.lastIndex, this._startedAtMs, this._core.options.clock.nowMs())
     const supervisor = this._supervisor.child(`replication to ${member.hostId}`)
-    const replication = new Replication(this._core, this._links, progress, this)
+    const replication = new FollowerReplicator(this._core, this._links, progress, this)
     this._followers.set(member.replicaId, { progress, supervisor })
     supervisor.spawn('entries', scope => replication.sendEntries(scope))
     supervisor.spawn('heartbeats', scope => replication.sendHeartbeats(scope))
   }
 
-  private async _followWriter (scope: Scope): Promise<void> {
+  private async _watchWriter (scope: Scope): Promise<void> {
     for (;;) {
       await this._core.state.writer.written.wait(scope)
       this._advanceCommit()
@@ -194,33 +194,33 @@
     // Only entries of the own term are committed by counting; earlier ones go with them.
     if (index <= this._core.commitIndex || log.termAt(index) !== this.term) return
     this._core.commitTo(index)
-    this._noticeCommit()
-    this._resignIfRemoved()
+    this._scheduleCommitNotice()
+    this._stepDownIfRemoved()
   }
 
   /** Followers that get no further entries learn of the commit soon, for they answer reads. */
-  private _noticeCommit (): void {
-    if (this._isNoticePlanned) return
-    this._isNoticePlanned = true
-    const { clock, timings } = this._core.parts
+  private _scheduleCommitNotice (): void {
+    if (this._isCommitNoticeScheduled) return
+    this._isCommitNoticeScheduled = true
+    const { clock, timings } = this._core.options
     clock.callAt(clock.nowMs() + timings.commitNoticeMs, () => {
-      this._isNoticePlanned = false
+      this._isCommitNoticeScheduled = false
       if (this.scope.isClosed) return
-      this.wantedRound = this._round + 1
-      for (const { progress } of this._followers.values()) progress.wanted.notify()
+      this.requestedRound = this._round + 1
+      for (const { progress } of this._followers.values()) progress.sendRequested.notify()
     })
   }
 
-  private _resignIfRemoved (): void {
+  private _stepDownIfRemoved (): void {
     if (this.mayChangeMembers() && !isVoter(this._core.members, this._core.replicaId)) this._core.stepDown('removed from the members')
   }
 
   private async _checkQuorum (): Promise<void> {
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     for (;;) {
       await sleepUntil(clock, this.scope, clock.nowMs() + timings.heartbeatMs)
       const confirmedAtMs = this._quorumValue(progress => progress.ackedSentAtMs)
-      if (clock.nowMs() - confirmedAtMs <= timings.electionMaxMs * this._core.patienceFactor) continue
+      if (clock.nowMs() - confirmedAtMs <= timings.electionMaxMs * this._core.electionTimeoutFactor) continue
       return this._core.stepDown('a quorum does not answer')
     }
   }
--- a/src/replication/log/logApplier.ts
+++ b/src/replication/log/logApplier.ts
@@ -10,15 +10,15 @@
 import { Signal } from '../../utils/signal.js'
 import { ReplicationEvent } from '../replicationEvents.js'
 import type { ReplicatedState, SnapshotPieces } from '../replicatedState.js'
-import type { Snapshot, SnapshotHead, WrittenSnapshot } from '../storage/snapshotFile.js'
+import type { Snapshot, SnapshotHeader, WrittenSnapshot } from '../storage/snapshotFile.js'
 import { EntryKind, entryBytes, type LogEntry } from './logEntry.js'
 import type { Proposals } from './proposals.js'
 import type { ReplicaCore } from './replicaCore.js'
 
 /** Entries applied before other tasks get their turn. */
-const MAX_TURN_COUNT = 256
+const MAX_ENTRIES_PER_TURN = 256
 /** Pause before a snapshot that a full disk has refused is taken anew. */
-const FULL_RETRY_MS = 1_000
+const DISK_FULL_RETRY_MS = 1_000
 
 export interface SnapshotPolicy {
   /** A snapshot is taken after so many entries, or so many bytes of them. */
@@ -49,8 +49,8 @@
   private readonly _decoder = new Decoder({ useRecords: false })
   private _appliedIndex: number
   /** Since the state that the latest snapshot shows. */
-  private _entriesCount = 0
-  private _bytes = 0
+  private _entriesSinceSnapshotCount = 0
+  private _bytesSinceSnapshot = 0
   /** Counts the states that were replaced as a whole: a snapshot of an earlier one is worth nothing. */
   private _restoresCount = 0
   private readonly _snapshotDue = new Signal()
@@ -76,7 +76,7 @@
   async run (scope: Scope): Promise<void> {
     for (;;) {
       while (this._appliedIndex >= this._core.commitIndex) await this._core.committed.wait(scope)
-      this._applyTurn()
+      this._applyBatch()
       this.applied.notify()
       if (this._isSnapshotDue()) this._snapshotDue.notify()
       if (this._appliedIndex < this._core.commitIndex) await scope.race(nextTurn())
@@ -105,14 +105,14 @@
     this._state.restore(snapshot.pieces)
     this._appliedIndex = snapshot.lastIndex
     this._restoresCount++
-    this._entriesCount = 0
-    this._bytes = 0
-    this._proposals.forgetUpTo(snapshot.lastIndex)
+    this._entriesSinceSnapshotCount = 0
+    this._bytesSinceSnapshot = 0
+    this._proposals.resolveCovered(snapshot.lastIndex)
     this.applied.notify()
   }
 
-  private _applyTurn (): void {
-    const lastIndex = Math.min(this._core.commitIndex, this._appliedIndex + MAX_TURN_COUNT)
+  private _applyBatch (): void {
+    const lastIndex = Math.min(this._core.commitIndex, this._appliedIndex + MAX_ENTRIES_PER_TURN)
     while (this._appliedIndex < lastIndex) {
       const entry = this._core.state.log.get(this._appliedIndex + 1)
       invariant(entry, `committed entry ${this._appliedIndex + 1} is not held`)
@@ -123,33 +123,33 @@
   private _apply (entry: LogEntry): void {
     const result = entry.kind === EntryKind.Command ? this._state.apply(this._decoder.decode(entry.payload), entry) : undefined
     this._appliedIndex = entry.index
-    this._entriesCount++
-    this._bytes += entryBytes(entry)
+    this._entriesSinceSnapshotCount++
+    this._bytesSinceSnapshot += entryBytes(entry)
     this._observer?.(entry, result)
     this._proposals.settle(entry, result)
   }
 
   private _isSnapshotDue (): boolean {
-    return this._entriesCount >= this._policy.everyEntriesCount || this._bytes >= this._policy.everyBytes
+    return this._entriesSinceSnapshotCount >= this._policy.everyEntriesCount || this._bytesSinceSnapshot >= this._policy.everyBytes
   }
 
   private async _takeSnapshot (scope: Scope): Promise<void> {
-    const { state, snapshots, parts: { clock, storage, logger } } = this._core
-    const begunAtMs = clock.nowMs()
+    const { state, snapshotStats: snapshots, options: { clock, storage, logger } } = this._core
+    const startedAtMs = clock.nowMs()
     const restoresCount = this._restoresCount
-    const head = this._head()
+    const header = this._snapshotHeader()
     const pieces = this._state.snapshot()
-    this._entriesCount = 0
-    this._bytes = 0
-    const written = await this._write(head, pieces, scope)
+    this._entriesSinceSnapshotCount = 0
+    this._bytesSinceSnapshot = 0
+    const written = await this._write(header, pieces, scope)
     if (!written) return await this._retryLater(restoresCount, scope)
     // A leader's snapshot, which is later, has come meanwhile.
     if (restoresCount !== this._restoresCount) return await scope.race(storage.discardSnapshot(written))
     state.compact(written, this._policy.keptEntriesCount)
-    logger.event(ReplicationEvent.SnapshotTaken, { lastIndex: written.lastIndex, bytesCount: written.lengthBytes, tookMs: snapshots.noteTaken(written.lengthBytes, begunAtMs) })
+    logger.event(ReplicationEvent.SnapshotTaken, { lastIndex: written.lastIndex, bytesCount: written.lengthBytes, tookMs: snapshots.recordTaken(written.lengthBytes, startedAtMs) })
   }
 
-  private _head (): SnapshotHead {
+  private _snapshotHeader (): SnapshotHeader {
     const { log, members } = this._core.state
     const lastIndex = this._appliedIndex
     const last = log.get(lastIndex)
@@ -158,10 +158,10 @@
   }
 
   /** Undefined when the disk is full, or another snapshot of the entry is on its way: the log stays as it is, and the next try shows a later state. */
-  private async _write (head: SnapshotHead, pieces: SnapshotPieces, scope: Scope): Promise<WrittenSnapshot | undefined> {
-    const { logger, storage } = this._core.parts
+  private async _write (header: SnapshotHeader, pieces: SnapshotPieces, scope: Scope): Promise<WrittenSnapshot | undefined> {
+    const { logger, storage } = this._core.options
     try {
-      return await scope.race(storage.writeSnapshot(head, pieces))
+      return await scope.race(storage.writeSnapshot(header, pieces))
     } catch (error) {
       if (!(error instanceof DiskFullError)) throw error
       logger.event(ReplicationEvent.DiskFull, { error: error.message })
@@ -170,8 +170,8 @@
   }
 
   private async _retryLater (restoresCount: number, scope: Scope): Promise<void> {
-    const { clock } = this._core.parts
-    await sleepUntil(clock, scope, clock.nowMs() + FULL_RETRY_MS)
-    if (restoresCount === this._restoresCount) this._entriesCount = this._policy.everyEntriesCount
+    const { clock } = this._core.options
+    await sleepUntil(clock, scope, clock.nowMs() + DISK_FULL_RETRY_MS)
+    if (restoresCount === this._restoresCount) this._entriesSinceSnapshotCount = this._policy.everyEntriesCount
   }
 }
--- a/src/replication/log/memberReport.ts
+++ b/src/replication/log/memberReport.ts
@@ -7,10 +7,10 @@
 import { MemberRole, quorumCount, votersOf } from './members.js'
 import type { ReplicaCore } from './replicaCore.js'
 
-export function reportMemberChanges (core: ReplicaCore): void {
+export function logMemberChanges (core: ReplicaCore): void {
   core.state.members.watch(() => {
     const voters = votersOf(core.members)
-    core.parts.logger.event(ReplicationEvent.MembersKnown, {
+    core.options.logger.event(ReplicationEvent.MembersKnown, {
       index: core.state.members.latestIndex,
       voters: voters.map(({ hostId }) => hostId),
       learners: core.members.filter(({ role }) => role === MemberRole.Learner).map(({ hostId }) => hostId),
--- a/src/replication/log/membershipChanges.ts
+++ b/src/replication/log/membershipChanges.ts
@@ -13,7 +13,7 @@
 import type { Leadership } from './leadership.js'
 import { MemberRole, quorumCount, votersOf, type Member } from './members.js'
 import type { ReplicaCore } from './replicaCore.js'
-import { bestSuccessor, excessMember, hasPlace, type ReplicaPlacement } from './replicaPlacement.js'
+import { bestCandidate, excessMember, hasPlace, type ReplicaPlacement } from './replicaPlacement.js'
 
 export type MembershipOutcome =
   | { kind: 'accepted' }
@@ -27,7 +27,7 @@
 const CAUGHT_UP_ENTRIES_COUNT = 64
 const REVIEW_INTERVAL_MS = 100
 /** A killed process is back within a second and answers its leader in the next; a voter silent for longer may give its place to a newcomer. */
-const PLACE_KEPT_MS = 2_000
+const REPLACE_SILENT_AFTER_MS = 2_000
 /** Losses that a group bears when it is not told how many it has to. */
 const DEFAULT_TOLERATED_LOSSES = 1
 
@@ -45,7 +45,7 @@
   private readonly _leadership: Leadership
   private readonly _policy: MembershipPolicy
   /** The voter whose place a newcomer has taken. */
-  private _replaced: Member | undefined
+  private _displacedVoter: Member | undefined
   /** Hosts whose earlier replica has just made room for the present one. */
   private readonly _vacatedHostIds = new Set<string>()
   /** Hosts that are being taken out of the members. */
@@ -65,12 +65,12 @@
     if (predecessors.some(member => this._leadership.isLive(member.replicaId))) {
       return { kind: 'refused', reason: `host ${newcomer.hostId} is running already` }
     }
-    if (!this._hasPlaceFor(newcomer, predecessors)) return { kind: 'notNeeded' }
+    if (!this._shouldAdmit(newcomer, predecessors)) return { kind: 'notNeeded' }
     if (!this._leadership.mayChangeMembers()) return { kind: 'busy' }
     // An earlier learner of the same host never voted and can go in the same step.
     const kept = members.filter(member => member.hostId !== newcomer.hostId || member.role === MemberRole.Voter)
     this._leadership.changeMembers([...kept, { ...newcomer, role: MemberRole.Learner }])
-    this._core.parts.logger.event(ReplicationEvent.MemberAdded, { hostId: newcomer.hostId, replicaId: newcomer.replicaId })
+    this._core.options.logger.event(ReplicationEvent.MemberAdded, { hostId: newcomer.hostId, replicaId: newcomer.replicaId })
     return { kind: 'accepted' }
   }
 
@@ -81,9 +81,9 @@
     if (this._policy.placement) this._leavingHostIds.add(hostId)
     if (!this._leadership.mayChangeMembers()) return { kind: 'busy' }
     const remaining = this._core.members.filter(member => member.hostId !== hostId)
-    if (votersOf(leaving).length > 0 && this._wouldBeTooFew(votersOf(remaining).length)) {
+    if (votersOf(leaving).length > 0 && this._isBelowMinVoters(votersOf(remaining).length)) {
       if (this._promoteSpare()) return { kind: 'busy' }
-      return { kind: 'refused', reason: `fewer than ${this._fewestVotersCount} voters would be left` }
+      return { kind: 'refused', reason: `fewer than ${this._minVotersCount} voters would be left` }
     }
     if (votersOf(leaving).length > 1) return this._removeOne(leaving)
     if (!this._hasLiveQuorum(remaining)) return { kind: 'refused', reason: 'too few of the remaining members answer' }
@@ -94,7 +94,7 @@
 
   /** Replaces and promotes as learners catch up, while the leadership lasts. */
   async review (scope: Scope): Promise<void> {
-    const { clock } = this._core.parts
+    const { clock } = this._core.options
     for (;;) {
       await sleepUntil(clock, scope, clock.nowMs() + REVIEW_INTERVAL_MS)
       if (this._leadership.mayChangeMembers()) this._reviewOnce()
@@ -102,16 +102,16 @@
   }
 
   private _reviewOnce (): void {
-    const replaced = this._replacedVoter()
-    if (replaced) return this._strike(replaced)
+    const replaced = this._takeDisplacedVoter()
+    if (replaced) return this._removeSilent(replaced)
     const ready = this._readyLearners()
     const successor = ready.find(({ hostId }) => this._vacatedHostIds.has(hostId))
     const predecessor = ready.map(learner => this._predecessorOf(learner)).find(member => member !== undefined)
-    const newcomer = this._wantsVoter() ? bestSuccessor(ready, votersOf(this._core.members)) : undefined
-    if (successor) this._succeed(successor)
+    const newcomer = this._needsVoter() ? bestCandidate(ready, votersOf(this._core.members)) : undefined
+    if (successor) this._promoteSuccessor(successor)
     else if (predecessor) this._replace(predecessor)
-    else if (newcomer) this._takeIn(newcomer)
-    else if (!this._trim()) this._strikeLongSilent()
+    else if (newcomer) this._promoteNewcomer(newcomer)
+    else if (!this._removeExcess()) this._removeLongestSilent()
   }
 
   private _readyLearners (): Member[] {
@@ -121,34 +121,34 @@
   }
 
   /** Without places of its own, everybody who has caught up votes. */
-  private _wantsVoter (): boolean {
+  private _needsVoter (): boolean {
     const { placement } = this._policy
     const voters = votersOf(this._core.members)
-    return placement === undefined || this._staying(voters).length < placement.votersCount || voters.some(({ replicaId }) => !this._leadership.isLive(replicaId))
+    return placement === undefined || this._withoutLeaving(voters).length < placement.votersCount || voters.some(({ replicaId }) => !this._leadership.isLive(replicaId))
   }
 
-  private _staying (members: Member[]): Member[] {
+  private _withoutLeaving (members: Member[]): Member[] {
     return members.filter(({ hostId }) => !this._leavingHostIds.has(hostId))
   }
 
   /** The replica of a host that lost its disk takes the place of its predecessor. A member that is away holds no place. */
-  private _hasPlaceFor (newcomer: Omit<Member, 'role'>, predecessors: Member[]): boolean {
+  private _shouldAdmit (newcomer: Omit<Member, 'role'>, predecessors: Member[]): boolean {
     const { placement } = this._policy
     if (!placement || predecessors.length > 0) return true
-    const present = this._staying(this._core.members).filter(member => this._silentMs(member) <= PLACE_KEPT_MS)
+    const present = this._withoutLeaving(this._core.members).filter(member => this._silentMs(member) <= REPLACE_SILENT_AFTER_MS)
     return hasPlace(placement, present, newcomer)
   }
 
   /** A spare votes before a voter is taken out that would be missed. */
   private _promoteSpare (): boolean {
-    const successor = this._policy.placement && bestSuccessor(this._readyLearners(), votersOf(this._core.members))
+    const successor = this._policy.placement && bestCandidate(this._readyLearners(), votersOf(this._core.members))
     return successor !== undefined && this._promote(successor)
   }
 
   /** One that came back after its place was taken, or a spare too many, steps back; only while all are there. */
-  private _trim (): boolean {
+  private _removeExcess (): boolean {
     const { placement } = this._policy
-    const staying = this._staying(this._core.members)
+    const staying = this._withoutLeaving(this._core.members)
     if (!placement || !staying.every(({ replicaId }) => this._leadership.isLive(replicaId))) return false
     const excess = excessMember(placement, staying, this._core.replicaId)
     if (!excess) return false
@@ -167,7 +167,7 @@
   }
 
   /** At once, and before another predecessor goes: until then there is a voter less. */
-  private _succeed (successor: Member): void {
+  private _promoteSuccessor (successor: Member): void {
     this._vacatedHostIds.delete(successor.hostId)
     this._promote(successor)
   }
@@ -177,65 +177,65 @@
    * beside it, the dead vote would raise the quorum for those that are left.
    * It votes first, for the other may be back with its disk at any moment.
    */
-  private _takeIn (newcomer: Member): void {
-    if (!this._isCalledForLong(newcomer)) return
+  private _promoteNewcomer (newcomer: Member): void {
+    if (!this._isContactedLongEnough(newcomer)) return
     const silent = this._longestSilent(votersOf(this._core.members))
     const isAway = silent !== undefined && !this._leadership.isLive(silent.replicaId)
     if (!isAway || this._policy.strikeSilentAfterMs === undefined) {
       this._promote(newcomer)
       return
     }
-    if (this._silentMs(silent) <= PLACE_KEPT_MS) return
-    if (this._promote(newcomer)) this._replaced = silent
+    if (this._silentMs(silent) <= REPLACE_SILENT_AFTER_MS) return
+    if (this._promote(newcomer)) this._displacedVoter = silent
   }
 
   /** The voter whose place a newcomer has taken, unless it is back or its vote is needed. */
-  private _replacedVoter (): Member | undefined {
-    const replaced = votersOf(this._core.members).find(member => member.replicaId === this._replaced?.replicaId)
-    this._replaced = undefined
-    const isNeeded = replaced && (this._leadership.isLive(replaced.replicaId) || this._wouldBeTooFew(votersOf(this._core.members).length - 1))
+  private _takeDisplacedVoter (): Member | undefined {
+    const replaced = votersOf(this._core.members).find(member => member.replicaId === this._displacedVoter?.replicaId)
+    this._displacedVoter = undefined
+    const isNeeded = replaced && (this._leadership.isLive(replaced.replicaId) || this._isBelowMinVoters(votersOf(this._core.members).length - 1))
     return isNeeded ? undefined : replaced
   }
 
   /** By then a voter that went just before the newcomer came no longer passes for live. */
-  private _isCalledForLong (newcomer: Member): boolean {
-    const { clock, timings } = this._core.parts
-    const sinceMs = this._leadership.progressOf(newcomer.replicaId)?.calledSinceMs ?? Number.POSITIVE_INFINITY
+  private _isContactedLongEnough (newcomer: Member): boolean {
+    const { clock, timings } = this._core.options
+    const sinceMs = this._leadership.progressOf(newcomer.replicaId)?.contactedSinceMs ?? Number.POSITIVE_INFINITY
     return clock.nowMs() - sinceMs > timings.electionMaxMs
   }
 
   /** A host that is gone for good is never announced; its dead vote would only raise the quorum. */
-  private _strikeLongSilent (): void {
+  private _removeLongestSilent (): void {
     const { strikeSilentAfterMs, placement } = this._policy
     const silent = this._longestSilent(this._core.members)
     if (!silent || strikeSilentAfterMs === undefined) return
     const isSpare = placement !== undefined && silent.role === MemberRole.Learner
-    if (this._silentMs(silent) <= (isSpare ? PLACE_KEPT_MS : strikeSilentAfterMs)) return
+    if (this._silentMs(silent) <= (isSpare ? REPLACE_SILENT_AFTER_MS : strikeSilentAfterMs)) return
     const votersCount = votersOf(this._core.members).length
-    if (silent.role === MemberRole.Learner || votersCount > this._fewestVotersCount) this._strike(silent)
+    if (silent.role === MemberRole.Learner || votersCount > this._minVotersCount) this._removeSilent(silent)
   }
 
-  private _strike (silent: Member): void {
+  private _removeSilent (silent: Member): void {
     const remaining = this._core.members.filter(member => member !== silent)
     if (silent.role === MemberRole.Learner || this._hasLiveQuorum(remaining)) this._change(remaining, ReplicationEvent.MemberRemoved, silent.hostId)
   }
 
   private _longestSilent (members: Member[]): Member | undefined {
-    const [longest] = [...members].sort((left, right) => this._leadership.heardAtMs(left.replicaId) - this._leadership.heardAtMs(right.replicaId))
+    const [longest] = [...members].sort((left, right) => this._leadership.lastSeenAtMs(left.replicaId) - this._leadership.lastSeenAtMs(right.replicaId))
     return longest
   }
 
   private _silentMs (member: Member): number {
-    return this._core.parts.clock.nowMs() - this._leadership.heardAtMs(member.replicaId)
+    return this._core.options.clock.nowMs() - this._leadership.lastSeenAtMs(member.replicaId)
   }
 
   /** A group that was not told what it has to bear is made as small as its operator wishes. */
-  private _wouldBeTooFew (votersCount: number): boolean {
-    return this._policy.toleratedLosses !== undefined && votersCount < this._fewestVotersCount
+  private _isBelowMinVoters (votersCount: number): boolean {
+    return this._policy.toleratedLosses !== undefined && votersCount < this._minVotersCount
   }
 
   /** A majority of so many holds an entry on one disk more than may be lost. */
-  private get _fewestVotersCount (): number {
+  private get _minVotersCount (): number {
     return 2 * (this._policy.toleratedLosses ?? DEFAULT_TOLERATED_LOSSES) + 1
   }
 
@@ -265,7 +265,7 @@
 
   private _change (members: Member[], event: ReplicationEvent, hostId: string): void {
     this._leadership.changeMembers(members)
-    this._core.parts.logger.event(event, { hostId })
+    this._core.options.logger.event(event, { hostId })
   }
 
   private _isCaughtUp (learner: Member): boolean {
--- a/src/replication/log/persistentState.ts
+++ b/src/replication/log/persistentState.ts
@@ -66,7 +66,7 @@
       const retryFromIndex = Math.max(this.log.firstIndexOfTerm(prevIndex), commitIndex + 1)
       return { kind: 'mismatch', retryFromIndex }
     }
-    const fresh = this._withoutKnown(request.entries, commitIndex)
+    const fresh = this._dropKnown(request.entries, commitIndex)
     if (fresh.length > 0) this.append(fresh)
     return { kind: 'merged', matchIndex: prevIndex + request.entries.length }
   }
@@ -98,7 +98,7 @@
   }
 
   /** Cuts off what contradicts the entries; returns those that are not there yet. */
-  private _withoutKnown (entries: LogEntry[], commitIndex: number): LogEntry[] {
+  private _dropKnown (entries: LogEntry[], commitIndex: number): LogEntry[] {
     const firstUnknown = entries.findIndex(entry => entry.index > this.log.baseIndex && this.log.termAt(entry.index) !== entry.term)
     const first = entries[firstUnknown]
     if (!first) return []
--- a/src/replication/log/proposals.ts
+++ b/src/replication/log/proposals.ts
@@ -9,43 +9,43 @@
   | { kind: 'notCommitted', reason: string }
   | { kind: 'unknown', reason: string }
 
-interface Waiting {
+interface PendingProposal {
   term: number
   settle: (outcome: ProposalOutcome) => void
 }
 
 export class Proposals {
-  private readonly _waiting = new Map<number, Waiting>()
+  private readonly _pending = new Map<number, PendingProposal>()
 
   get count (): number {
-    return this._waiting.size
+    return this._pending.size
   }
 
   /** The outcome of an entry; call `abandon` when nobody waits for it any more. */
   outcomeOf (index: number, term: number): Promise<ProposalOutcome> {
     // What stood in this place was cut off here, but another replica may still bring it back.
-    this._waiting.get(index)?.settle({ kind: 'unknown', reason: 'cut off by a later leader' })
-    return new Promise(resolve => this._waiting.set(index, { term, settle: resolve }))
+    this._pending.get(index)?.settle({ kind: 'unknown', reason: 'cut off by a later leader' })
+    return new Promise(resolve => this._pending.set(index, { term, settle: resolve }))
   }
 
   abandon (index: number, term: number): void {
-    if (this._waiting.get(index)?.term === term) this._waiting.delete(index)
+    if (this._pending.get(index)?.term === term) this._pending.delete(index)
   }
 
   settle (entry: LogEntry, result: unknown): void {
-    const waiting = this._waiting.get(entry.index)
-    if (!waiting) return
-    this._waiting.delete(entry.index)
-    if (waiting.term === entry.term) waiting.settle({ kind: 'committed', index: entry.index, result })
-    else waiting.settle({ kind: 'notCommitted', reason: 'another entry took its place' })
+    const pending = this._pending.get(entry.index)
+    if (!pending) return
+    this._pending.delete(entry.index)
+    if (pending.term === entry.term) pending.settle({ kind: 'committed', index: entry.index, result })
+    else pending.settle({ kind: 'notCommitted', reason: 'another entry took its place' })
   }
 
   /** A snapshot has covered these entries; their results are not known here. */
-  forgetUpTo (index: number): void {
-    for (const [waitingIndex, waiting] of this._waiting) {
-      if (waitingIndex > index) continue
-      this._waiting.delete(waitingIndex)
-      waiting.settle({ kind: 'unknown', reason: 'covered by a snapshot' })
+  resolveCovered (index: number): void {
+    for (const [pendingIndex, pending] of this._pending) {
+      if (pendingIndex > index) continue
+      this._pending.delete(pendingIndex)
+      pending.settle({ kind: 'unknown', reason: 'covered by a snapshot' })
     }
   }
 }
--- a/src/replication/log/replica.ts
+++ b/src/replication/log/replica.ts
@@ -22,7 +22,7 @@
 import { Leadership } from './leadership.js'
 import { JoinRefusals } from './joinRefusals.js'
 import { LogApplier, type ApplyObserver, type SnapshotPolicy } from './logApplier.js'
-import { reportMemberChanges } from './memberReport.js'
+import { logMemberChanges } from './memberReport.js'
 import type { Member } from './members.js'
 import { MembershipChanges, type MembershipOutcome, type MembershipPolicy } from './membershipChanges.js'
 import { PeerLinks } from './peerLinks.js'
@@ -34,7 +34,7 @@
 import type { LogTimings } from './timings.js'
 import { CampaignOutcome, Voting } from './voting.js'
 
-export interface ReplicaParts extends MembershipPolicy {
+export interface ReplicaOptions extends MembershipPolicy {
   clock: Clock
   random: RandomSource
   metrics: Metrics
@@ -73,7 +73,7 @@
   readonly core: ReplicaCore
   readonly links: PeerLinks
   /** Without what was read at the start, which has its places by now. */
-  private readonly _parts: Omit<ReplicaParts, 'opened'>
+  private readonly _options: Omit<ReplicaOptions, 'opened'>
   private readonly _scope: Scope
   private readonly _applier: LogApplier
   private readonly _proposals = new Proposals()
@@ -85,31 +85,31 @@
   private _leadership: Leadership | undefined
   private _membershipChanges: MembershipChanges | undefined
   /** Notified when a leader hands over to this replica. */
-  private readonly _campaignAsked = new Signal()
+  private readonly _campaignRequested = new Signal()
   /** Term of the leader that handed over. */
   private _handedOverTerm: number | undefined
 
-  constructor (parts: ReplicaParts) {
-    const { opened, ...kept } = parts
-    const { clock, random, metrics, logger, timings, supervisor } = kept
-    this._parts = kept
+  constructor (options: ReplicaOptions) {
+    const { opened, ...retained } = options
+    const { clock, random, metrics, logger, timings, supervisor } = retained
+    this._options = retained
     this._scope = supervisor.scope
     const writer = new DurableWriter(opened.storage, clock, metrics, logger)
     const state = new PersistentState(opened.loaded, writer)
     const snapshot = opened.loaded.snapshot
     const restoredFromMs = clock.nowMs()
-    if (snapshot) parts.state.restore(snapshot.pieces)
+    if (snapshot) options.state.restore(snapshot.pieces)
     const restoreMs = clock.nowMs() - restoredFromMs
-    const startedAtMs = parts.startedAtMs ?? clock.nowMs()
+    const startedAtMs = options.startedAtMs ?? clock.nowMs()
     this.core = new ReplicaCore({ clock, random, metrics, logger, timings, storage: opened.storage, state, startedAtMs }, snapshot?.lastIndex ?? 0)
-    this.links = new PeerLinks(parts.transport, this._scope, parts.onFatal)
-    this._applier = new LogApplier(this.core, parts.state, this._proposals, parts.snapshotPolicy, parts.observer)
+    this.links = new PeerLinks(options.transport, this._scope, options.onFatal)
+    this._applier = new LogApplier(this.core, options.state, this._proposals, options.snapshotPolicy, options.observer)
     this._following = new Following(this.core, this._applier, this._scope)
     this._voting = new Voting(this.core, this.links, this._scope)
     this._joinRefusals = new JoinRefusals(clock, logger)
-    this._startReport = new StartReport(this, opened.loaded, { readMs: parts.readMs, restoreMs })
-    if (snapshot) this.core.snapshots.noteLoaded(opened.loaded.snapshotLengthBytes, (parts.readMs ?? 0) + restoreMs)
-    reportMemberChanges(this.core)
+    this._startReport = new StartReport(this, opened.loaded, { readMs: options.readMs, restoreMs })
+    if (snapshot) this.core.snapshotStats.recordLoaded(opened.loaded.snapshotLengthBytes, (options.readMs ?? 0) + restoreMs)
+    logMemberChanges(this.core)
   }
 
   get appliedIndex (): number {
@@ -136,12 +136,12 @@
   }
 
   start (): void {
-    this._startReport.tellLoaded()
-    this._parts.supervisor.spawn('log writer', scope => this.core.state.writer.run(scope))
-    this._parts.supervisor.spawn('applier', scope => this._applier.run(scope))
-    this._parts.supervisor.spawn('start report', scope => this._startReport.tellApplied(scope))
-    this._parts.supervisor.spawn('snapshots', scope => this._applier.runSnapshots(scope))
-    this._parts.supervisor.spawn('elections', scope => this._standForElections(scope))
+    this._startReport.logLoaded()
+    this._options.supervisor.spawn('log writer', scope => this.core.state.writer.run(scope))
+    this._options.supervisor.spawn('applier', scope => this._applier.run(scope))
+    this._options.supervisor.spawn('start report', scope => this._startReport.logApplied(scope))
+    this._options.supervisor.spawn('snapshots', scope => this._applier.runSnapshots(scope))
+    this._options.supervisor.spawn('elections', scope => this._runElections(scope))
   }
 
   /** Puts a command into the log and waits until it was applied. */
@@ -179,7 +179,7 @@
 
   /** Waits until the state holds everything that earlier leaders committed; for a replica that has begun to lead. */
   async whenCurrent (scope: Scope): Promise<void> {
-    const { clock } = this._parts
+    const { clock } = this._options
     for (;;) {
       const read = await this.read(ReadMode.Quorum, new Progress(clock, scope, clock.nowMs() + CURRENT_TIMEOUT_MS))
       if (read.kind === 'confirmed') return
@@ -214,21 +214,21 @@
     return this.leadership && this._membershipChanges
   }
 
-  private async _standForElections (scope: Scope): Promise<void> {
+  private async _runElections (scope: Scope): Promise<void> {
     let pauseMs = 0
     for (;;) {
-      await this._untilElectionIsDue(scope, pauseMs)
+      await this._waitUntilElectionDue(scope, pauseMs)
       const isHandover = this._handedOverTerm === this.core.term
       this._handedOverTerm = undefined
-      const outcome = this.core.isVoter() ? await this._voting.campaign(isHandover) : CampaignOutcome.NotWanted
+      const outcome = this.core.isVoter() ? await this._voting.campaign(isHandover) : CampaignOutcome.NotStarted
       if (outcome === CampaignOutcome.Won) await this._lead()
       pauseMs = this._pauseAfter(outcome)
     }
   }
 
   private _pauseAfter (outcome: CampaignOutcome): number {
-    const { random, timings } = this._parts
-    if (outcome === CampaignOutcome.NotWanted) return random.int(timings.preVoteRetryMinMs, timings.preVoteRetryMaxMs)
+    const { random, timings } = this._options
+    if (outcome === CampaignOutcome.NotStarted) return random.int(timings.preVoteRetryMinMs, timings.preVoteRetryMaxMs)
     return random.int(timings.electionMinMs, timings.electionMaxMs)
   }
 
@@ -236,25 +236,25 @@
     if (!(await this.core.accepts(request))) return { kind: 'wrongReplica' }
     if (request.term !== this.core.term || !this.core.isVoter() || this.leadership) return { kind: 'declined' }
     this._handedOverTerm = request.term
-    this._campaignAsked.notify()
+    this._campaignRequested.notify()
     return { kind: 'campaigning' }
   }
 
   /** Returns after a pause, when nobody was heard from for a random election timeout, or when a leader hands over. */
-  private async _untilElectionIsDue (scope: Scope, pauseMs: number): Promise<void> {
-    const { clock, random, timings } = this._parts
+  private async _waitUntilElectionDue (scope: Scope, pauseMs: number): Promise<void> {
+    const { clock, random, timings } = this._options
     const timeoutMs = random.int(timings.electionMinMs, timings.electionMaxMs)
     const pauseEndsAtMs = clock.nowMs() + pauseMs
-    const dueAtMs = (): number => Math.max(pauseEndsAtMs, this.core.quietSinceMs + timeoutMs * this.core.patienceFactor)
+    const dueAtMs = (): number => Math.max(pauseEndsAtMs, this.core.quietSinceMs + timeoutMs * this.core.electionTimeoutFactor)
     while (clock.nowMs() < dueAtMs() && this._handedOverTerm === undefined) {
-      await this._campaignAsked.wait(scope, { clock, deadlineMs: dueAtMs() })
+      await this._campaignRequested.wait(scope, { clock, deadlineMs: dueAtMs() })
     }
   }
 
   private async _lead (): Promise<void> {
-    const supervisor = this._parts.supervisor.child(`leadership of term ${this.core.term}`)
+    const supervisor = this._options.supervisor.child(`leadership of term ${this.core.term}`)
     const leadership = new Leadership(this.core, this.links, supervisor)
-    const changes = new MembershipChanges(this.core, leadership, this._parts)
+    const changes = new MembershipChanges(this.core, leadership, this._options)
     this.core.becomeLeader(reason => supervisor.scope.close(reason))
     this._leadership = leadership
     this._membershipChanges = changes
--- a/src/replication/log/replicaCore.ts
+++ b/src/replication/log/replicaCore.ts
@@ -30,11 +30,11 @@
  * before ran, and is held up by it even longer. One loss costs what it did;
  * a second one within the window twice, from the third on four times.
  */
-const MAX_PATIENCE_FACTOR = 4
+const MAX_ELECTION_TIMEOUT_FACTOR = 4
 /** Longer than a leader needs to begin a step of every trainer, a few seconds. */
 const ELECTIONS_WINDOW_MS = 15_000
 
-export interface CoreParts {
+export interface CoreOptions {
   clock: Clock
   random: RandomSource
   metrics: Metrics
@@ -47,9 +47,9 @@
 }
 
 export class ReplicaCore {
-  readonly parts: CoreParts
+  readonly options: CoreOptions
   readonly state: PersistentState
-  readonly snapshots: SnapshotFigures
+  readonly snapshotStats: SnapshotFigures
   /** Notified when the commit index moves. */
   readonly committed = new Signal()
   /** Notified when the leader or the term changes. */
@@ -57,30 +57,30 @@
   commitIndex: number
   private _role = ReplicaRole.Follower
   private _leaderReplicaId: string | undefined
-  private _lastContactMs: number
-  private _lastVoteMs = Number.NEGATIVE_INFINITY
+  private _lastLeaderContactMs: number
+  private _lastVoteGrantedMs = Number.NEGATIVE_INFINITY
   private _adoption: Promise<void> | undefined
   /** When leaders were elected after a silence, the oldest first. */
   private _electedAtMs: number[] = []
   private _onStepDown: (reason: string) => void = () => {}
 
-  constructor (parts: CoreParts, commitIndex: number) {
-    this.parts = parts
-    this.state = parts.state
-    this.snapshots = new SnapshotFigures(parts.clock)
+  constructor (options: CoreOptions, commitIndex: number) {
+    this.options = options
+    this.state = options.state
+    this.snapshotStats = new SnapshotFigures(options.clock)
     this.commitIndex = commitIndex
     // After a restart it cannot know whom it heard from; it votes for nobody
     // until any lease that its last answers gave has ended. They were given
     // before this process began.
-    this._lastContactMs = parts.startedAtMs
+    this._lastLeaderContactMs = options.startedAtMs
   }
 
   get replicaId (): string {
-    return this.parts.storage.identity.replicaId
+    return this.options.storage.identity.replicaId
   }
 
   get clusterId (): string | null {
-    return this.parts.storage.identity.clusterId
+    return this.options.storage.identity.clusterId
   }
 
   get role (): ReplicaRole {
@@ -102,15 +102,15 @@
 
   /** When a leader was last heard from, or a candidate was given its chance. */
   get quietSinceMs (): number {
-    return Math.max(this._lastContactMs, this._lastVoteMs)
+    return Math.max(this._lastLeaderContactMs, this._lastVoteGrantedMs)
   }
 
   /** What election time-outs are multiplied by. */
-  get patienceFactor (): number {
-    const sinceMs = this.parts.clock.nowMs() - ELECTIONS_WINDOW_MS
+  get electionTimeoutFactor (): number {
+    const sinceMs = this.options.clock.nowMs() - ELECTIONS_WINDOW_MS
     const recentCount = this._electedAtMs.filter(atMs => atMs >= sinceMs).length
     const repeatedCount = Math.max(0, recentCount - 1)
-    return Math.min(MAX_PATIENCE_FACTOR, 2 ** repeatedCount)
+    return Math.min(MAX_ELECTION_TIMEOUT_FACTOR, 2 ** repeatedCount)
   }
 
   /** Whether it may stand for election. */
@@ -121,7 +121,7 @@
   /** True while a vote for another could break the leader's lease. */
   isBoundToLeader (): boolean {
     if (this._role === ReplicaRole.Leader) return true
-    return this.parts.clock.nowMs() < this._lastContactMs + this.parts.timings.electionMinMs
+    return this.options.clock.nowMs() < this._lastLeaderContactMs + this.options.timings.electionMinMs
   }
 
   /**
@@ -136,7 +136,7 @@
 
   /** Enters a cluster for good; the first one wins. */
   async adopt (clusterId: string): Promise<void> {
-    this._adoption ??= this.parts.storage.adoptCluster(clusterId)
+    this._adoption ??= this.options.storage.adoptCluster(clusterId)
     await this._adoption
   }
 
@@ -146,12 +146,12 @@
     this.observeTerm(term)
     invariant(this._role !== ReplicaRole.Leader, `two leaders in term ${term}`)
     this._role = ReplicaRole.Follower
-    if (this._leaderReplicaId !== leaderReplicaId) this._noteElection()
-    this._lastContactMs = this.parts.clock.nowMs()
+    if (this._leaderReplicaId !== leaderReplicaId) this._recordElection()
+    this._lastLeaderContactMs = this.options.clock.nowMs()
     if (this._leaderReplicaId === leaderReplicaId) return
     this._leaderReplicaId = leaderReplicaId
-    this.parts.metrics.count(MetricName.LeaderChanged)
-    this.parts.logger.event(ReplicationEvent.LeaderFollowed, { term, leaderReplicaId })
+    this.options.metrics.count(MetricName.LeaderChanged)
+    this.options.logger.event(ReplicationEvent.LeaderFollowed, { term, leaderReplicaId })
     this.leaderChanged.notify()
   }
 
@@ -167,7 +167,7 @@
     this._role = ReplicaRole.Follower
     this._leaderReplicaId = undefined
     if (!wasLeader) return
-    this.parts.logger.event(ReplicationEvent.LeadershipEnded, { term: this.term, reason })
+    this.options.logger.event(ReplicationEvent.LeadershipEnded, { term: this.term, reason })
     this._onStepDown(reason)
     this.leaderChanged.notify()
   }
@@ -179,12 +179,12 @@
 
   /** @param onStepDown called once when the leadership ends */
   becomeLeader (onStepDown: (reason: string) => void): void {
-    this._noteElection()
+    this._recordElection()
     this._role = ReplicaRole.Leader
     this._leaderReplicaId = this.replicaId
     this._onStepDown = onStepDown
-    this.parts.metrics.count(MetricName.LeaderChanged)
-    this.parts.logger.event(ReplicationEvent.LeadershipBegun, { term: this.term })
+    this.options.metrics.count(MetricName.LeaderChanged)
+    this.options.logger.event(ReplicationEvent.LeadershipStarted, { term: this.term })
     this.leaderChanged.notify()
   }
 
@@ -192,21 +192,21 @@
    * Notes that there is a new leader; before the contact with it is. One that a
    * leader handed over to begins at once and is not counted.
    */
-  private _noteElection (): void {
-    const nowMs = this.parts.clock.nowMs()
-    if (nowMs - this._lastContactMs < this.parts.timings.electionMinMs) return
+  private _recordElection (): void {
+    const nowMs = this.options.clock.nowMs()
+    if (nowMs - this._lastLeaderContactMs < this.options.timings.electionMinMs) return
     this._electedAtMs = [...this._electedAtMs.filter(atMs => atMs >= nowMs - ELECTIONS_WINDOW_MS), nowMs]
   }
 
   /** A vote was given: the candidate gets its time to win. */
-  noteVoteGiven (): void {
-    this._lastVoteMs = this.parts.clock.nowMs()
+  recordVoteGranted (): void {
+    this._lastVoteGrantedMs = this.options.clock.nowMs()
   }
 
   commitTo (index: number): void {
     if (index <= this.commitIndex) return
     invariant(index <= this.state.log.lastIndex, `commit index ${index} is behind the end of the log`)
-    this.parts.metrics.count(MetricName.LogCommitted, {}, index - this.commitIndex)
+    this.options.metrics.count(MetricName.LogCommitted, {}, index - this.commitIndex)
     this.commitIndex = index
     this.committed.notify()
   }
--- a/src/replication/log/replicaGauges.ts
+++ b/src/replication/log/replicaGauges.ts
@@ -19,7 +19,7 @@
   metrics.gauge(MetricName.LogHeldBytes, log.bytes)
   metrics.gauge(MetricName.LogAppliedIndex, replica.appliedIndex)
   metrics.gauge(MetricName.LogCommitIndex, core.commitIndex)
-  for (const [source, { bytesCount, tookMs }] of core.snapshots.latest) {
+  for (const [source, { bytesCount, tookMs }] of core.snapshotStats.latest) {
     metrics.gauge(MetricName.SnapshotBytes, bytesCount, { source })
     metrics.gauge(MetricName.SnapshotTookMs, tookMs, { source })
   }
--- a/src/replication/log/replicaPlacement.ts
+++ b/src/replication/log/replicaPlacement.ts
@@ -23,23 +23,23 @@
   return { votersCount: 2 * toleratedLosses + 1, sparesCount: toleratedLosses }
 }
 
-function placesCount ({ votersCount, sparesCount }: ReplicaPlacement): number {
+function membersCount ({ votersCount, sparesCount }: ReplicaPlacement): number {
   return votersCount + sparesCount
 }
 
 /** Whether a newcomer is wanted beside the hosts that are members and stay. */
 export function hasPlace (placement: ReplicaPlacement, staying: readonly Member[], newcomer: Omit<Member, 'role'>): boolean {
   const hostIds = new Set(staying.map(({ hostId }) => hostId))
-  if (hostIds.size >= placesCount(placement)) return false
+  if (hostIds.size >= membersCount(placement)) return false
   // Fewer than the voters that are needed are worse than two in one place.
   if (hostIds.size < placement.votersCount) return true
-  return countIn(staying, newcomer.dataCentre) < mostOfOneDataCentre(placement, [...staying, newcomer])
+  return countIn(staying, newcomer.dataCentre) < maxPerDataCentre(placement, [...staying, newcomer])
 }
 
 /** As even as it can be over the data centres that are known. */
-function mostOfOneDataCentre (placement: ReplicaPlacement, members: ReadonlyArray<Omit<Member, 'role'>>): number {
+function maxPerDataCentre (placement: ReplicaPlacement, members: ReadonlyArray<Omit<Member, 'role'>>): number {
   const dataCentres = new Set(members.map(({ dataCentre }) => dataCentre))
-  return Math.ceil(placesCount(placement) / dataCentres.size)
+  return Math.ceil(membersCount(placement) / dataCentres.size)
 }
 
 function countIn (members: readonly Member[], dataCentre: string | undefined): number {
@@ -47,21 +47,21 @@
 }
 
 /** Of learners that could vote, the one whose data centre has the fewest voters. */
-export function bestSuccessor (learners: readonly Member[], voters: readonly Member[]): Member | undefined {
-  return fewestFirst(learners, voters)[0]
+export function bestCandidate (learners: readonly Member[], voters: readonly Member[]): Member | undefined {
+  return byDataCentreCount(learners, voters)[0]
 }
 
 /** A member that is there beyond the places: it votes or learns one step less; undefined when there is none. */
 export function excessMember (placement: ReplicaPlacement, staying: readonly Member[], leaderId: string): Member | undefined {
   const voters = staying.filter(({ role }) => role === MemberRole.Voter)
   const others = voters.filter(({ replicaId }) => replicaId !== leaderId)
-  if (voters.length > placement.votersCount) return fewestFirst(others, voters).at(-1)
+  if (voters.length > placement.votersCount) return byDataCentreCount(others, voters).at(-1)
   const learners = staying.filter(({ role }) => role === MemberRole.Learner)
-  return staying.length > placesCount(placement) ? fewestFirst(learners, staying).at(-1) : undefined
+  return staying.length > membersCount(placement) ? byDataCentreCount(learners, staying).at(-1) : undefined
 }
 
-function fewestFirst (members: readonly Member[], beside: readonly Member[]): Member[] {
-  return [...members].sort((left, right) => countIn(beside, left.dataCentre) - countIn(beside, right.dataCentre))
+function byDataCentreCount (members: readonly Member[], counted: readonly Member[]): Member[] {
+  return [...members].sort((left, right) => countIn(counted, left.dataCentre) - countIn(counted, right.dataCentre))
 }
 
 /** The first of a list of hosts, taken from each data centre in turn. */
@@ -70,7 +70,7 @@
   for (const host of hosts) byDataCentre.set(host.dataCentre, [...byDataCentre.get(host.dataCentre) ?? [], host])
   const chosen: T[] = []
   for (let round = 0; chosen.length < Math.min(count, hosts.length); round++) {
-    for (const near of byDataCentre.values()) chosen.push(...near.slice(round, round + 1))
+    for (const hostsOfDataCentre of byDataCentre.values()) chosen.push(...hostsOfDataCentre.slice(round, round + 1))
   }
   return chosen.slice(0, count)
 }
--- a/src/replication/log/replication.ts
+++ b/src/replication/log/replication.ts
@@ -15,19 +15,19 @@
 /** Entries of one message, in bytes; one entry may be larger. */
 const MAX_APPEND_BYTES = 1024 * 1024
 /** Read from the disk and sent one by one: the leader holds one of them for each replica that is behind. */
-const SNAPSHOT_PIECE_BYTES = 512 * 1024
+const SNAPSHOT_CHUNK_BYTES = 512 * 1024
 
 /** What the tasks tell the leadership. */
 export interface ReplicationListener {
   /** Numbers requests, so that an answer tells what had been asked before it. */
   nextRound (): number
   /** The highest number that somebody waits for to be confirmed. */
-  readonly wantedRound: number
+  readonly requestedRound: number
   onAcknowledged (): void
   onMatched (): void
 }
 
-export class Replication {
+export class FollowerReplicator {
   private readonly _core: ReplicaCore
   private readonly _links: PeerLinks
   private readonly _follower: FollowerProgress
@@ -44,10 +44,10 @@
 
   /** Sends entries as they come, until the scope closes. */
   async sendEntries (scope: Scope): Promise<void> {
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     const { log } = this._core.state
     for (;;) {
-      while (this._follower.nextIndex > log.lastIndex) await this._follower.wanted.wait(scope)
+      while (this._follower.nextIndex > log.lastIndex) await this._follower.sendRequested.wait(scope)
       const nextAtMs = clock.nowMs() + timings.appendIntervalMs
       const isHeld = this._follower.nextIndex > log.baseIndex
       const succeeded = isHeld ? await this._append(scope) : await this._sendSnapshot(scope)
@@ -58,19 +58,19 @@
 
   /** Sends a heartbeat at every interval, and at once when a confirmation is wanted. */
   async sendHeartbeats (scope: Scope): Promise<void> {
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     for (;;) {
       const nextAtMs = clock.nowMs() + timings.heartbeatMs
       await this._heartbeat(scope)
-      while (this._follower.sentRound >= this._listener.wantedRound) {
-        if (!(await this._follower.wanted.wait(scope, { clock, deadlineMs: nextAtMs }))) break
+      while (this._follower.lastHeartbeatRound >= this._listener.requestedRound) {
+        if (!(await this._follower.sendRequested.wait(scope, { clock, deadlineMs: nextAtMs }))) break
       }
     }
   }
 
   private async _append (scope: Scope): Promise<boolean> {
     scope.throwIfClosed()
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     const { log } = this._core.state
     const prevIndex = this._follower.nextIndex - 1
     const prevTerm = log.termAt(prevIndex)
@@ -88,7 +88,7 @@
   private _onAppendReply (reply: AppendReply, round: number, sentAt: SentAt): boolean {
     switch (reply.kind) {
       case 'matched':
-        this._follower.matched(reply.matchIndex)
+        this._follower.recordMatch(reply.matchIndex)
         this._acknowledge(round, sentAt)
         this._listener.onMatched()
         return true
@@ -106,11 +106,11 @@
 
   private async _heartbeat (scope: Scope): Promise<void> {
     scope.throwIfClosed()
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     const commitIndex = Math.min(this._core.commitIndex, this._follower.matchIndex)
     const sentAt = this._sentAt()
     const round = this._listener.nextRound()
-    this._follower.sentRound = round
+    this._follower.lastHeartbeatRound = round
     const progress = new Progress(clock, scope, sentAt.sentAtMs + 2 * timings.heartbeatMs)
     const outcome = await this._links.to(this._follower.member).call(heartbeatMethod, { ...this._address(), commitIndex }, progress)
     if (outcome.kind !== 'replied') return
@@ -119,19 +119,19 @@
   }
 
   private async _sendSnapshot (scope: Scope): Promise<boolean> {
-    const { storage } = this._core.parts
+    const { storage } = this._core.options
     const { snapshot } = storage
     if (!snapshot) return false
     const { lastIndex, lastTerm, lengthBytes: totalBytes } = snapshot
     let offsetBytes = 0
     for (;;) {
-      const bytes = await scope.race(storage.readSnapshotPart(snapshot, offsetBytes, SNAPSHOT_PIECE_BYTES))
+      const bytes = await scope.race(storage.readSnapshotChunk(snapshot, offsetBytes, SNAPSHOT_CHUNK_BYTES))
       // A later snapshot has taken its place.
       if (!bytes) return false
-      const piece = { lastIndex, lastTerm, offsetBytes, totalBytes, bytes }
-      const reply = await this._sendPiece(piece, scope)
+      const chunk = { lastIndex, lastTerm, offsetBytes, totalBytes, bytes }
+      const reply = await this._sendSnapshotChunk(chunk, scope)
       if (reply?.kind === 'installed') {
-        this._follower.matched(reply.matchIndex)
+        this._follower.recordMatch(reply.matchIndex)
         this._listener.onMatched()
         // While a later snapshot waits for the disk, this one may end before the log begins.
         return this._follower.nextIndex > this._core.state.log.baseIndex
@@ -141,13 +141,13 @@
     }
   }
 
-  private async _sendPiece (piece: { lastIndex: number, lastTerm: number, offsetBytes: number, totalBytes: number, bytes: Uint8Array }, scope: Scope): Promise<SnapshotReply | undefined> {
+  private async _sendSnapshotChunk (chunk: { lastIndex: number, lastTerm: number, offsetBytes: number, totalBytes: number, bytes: Uint8Array }, scope: Scope): Promise<SnapshotReply | undefined> {
     scope.throwIfClosed()
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     const sentAt = this._sentAt()
     const round = this._listener.nextRound()
     const progress = new Progress(clock, scope, sentAt.sentAtMs + timings.callTimeoutMs)
-    const outcome = await this._links.to(this._follower.member).call(snapshotMethod, { ...this._address(), ...piece }, progress)
+    const outcome = await this._links.to(this._follower.member).call(snapshotMethod, { ...this._address(), ...chunk }, progress)
     if (outcome.kind !== 'replied') return undefined
     if (outcome.body.kind === 'staleTerm') this._core.observeTerm(outcome.body.term)
     else if (outcome.body.kind !== 'wrongReplica') this._acknowledge(round, sentAt)
@@ -164,7 +164,7 @@
   }
 
   private _sentAt (): SentAt {
-    const { clock } = this._core.parts
+    const { clock } = this._core.options
     return { sentAtMs: clock.nowMs(), leaseMs: clock.leaseNowMs() }
   }
 
@@ -174,7 +174,7 @@
   }
 
   private async _pause (scope: Scope): Promise<void> {
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     await sleepUntil(clock, scope, clock.nowMs() + timings.retryPauseMs)
   }
 }
--- a/src/replication/log/snapshotFigures.ts
+++ b/src/replication/log/snapshotFigures.ts
@@ -9,14 +9,14 @@
   Loaded = 'loaded'
 }
 
-export interface SnapshotFigure {
+export interface SnapshotStat {
   bytesCount: number
   tookMs: number
 }
 
 export class SnapshotFigures {
   private readonly _clock: Clock
-  private readonly _latest = new Map<SnapshotSource, SnapshotFigure>()
+  private readonly _latest = new Map<SnapshotSource, SnapshotStat>()
   /** The leader's snapshot that is on its way. */
   private _arriving: { lastIndex: number, sinceMs: number } | undefined
 
@@ -25,7 +25,7 @@
   }
 
   /** The last snapshot of each source that there was one of. */
-  get latest (): ReadonlyMap<SnapshotSource, SnapshotFigure> {
+  get latest (): ReadonlyMap<SnapshotSource, SnapshotStat> {
     return this._latest
   }
 
@@ -39,18 +39,18 @@
   noteInstalled (bytesCount: number): number {
     const sinceMs = this._arriving?.sinceMs ?? this._clock.nowMs()
     this._arriving = undefined
-    return this._note(SnapshotSource.Installed, bytesCount, this._clock.nowMs() - sinceMs)
+    return this._record(SnapshotSource.Installed, bytesCount, this._clock.nowMs() - sinceMs)
   }
 
-  noteTaken (bytesCount: number, begunAtMs: number): number {
-    return this._note(SnapshotSource.Taken, bytesCount, this._clock.nowMs() - begunAtMs)
+  recordTaken (bytesCount: number, startedAtMs: number): number {
+    return this._record(SnapshotSource.Taken, bytesCount, this._clock.nowMs() - startedAtMs)
   }
 
-  noteLoaded (bytesCount: number, tookMs: number): void {
-    this._note(SnapshotSource.Loaded, bytesCount, tookMs)
+  recordLoaded (bytesCount: number, tookMs: number): void {
+    this._record(SnapshotSource.Loaded, bytesCount, tookMs)
   }
 
-  private _note (source: SnapshotSource, bytesCount: number, tookMs: number): number {
+  private _record (source: SnapshotSource, bytesCount: number, tookMs: number): number {
     this._latest.set(source, { bytesCount, tookMs })
     return tookMs
   }
--- a/src/replication/log/snapshotReceiver.ts
+++ b/src/replication/log/snapshotReceiver.ts
@@ -15,7 +15,7 @@
   /** It lies on the disk; it has to be installed or discarded. */
   | { kind: 'complete', snapshot: Snapshot }
 
-interface Receiving {
+interface Transfer {
   lastIndex: number
   term: number
   incoming: IncomingSnapshot
@@ -23,14 +23,14 @@
 
 export class SnapshotReceiver {
   private readonly _storage: ReplicaStorage
-  private readonly _keep: (piece: unknown) => unknown
-  private _receiving: Receiving | undefined
+  private readonly _mapPiece: (piece: unknown) => unknown
+  private _transfer: Transfer | undefined
   private _lastCall: Promise<unknown> = Promise.resolve()
 
-  /** @param keep what is kept of each piece that has come */
-  constructor (storage: ReplicaStorage, keep: (piece: unknown) => unknown) {
+  /** @param mapPiece what is kept of each piece that has come */
+  constructor (storage: ReplicaStorage, mapPiece: (piece: unknown) => unknown) {
     this._storage = storage
-    this._keep = keep
+    this._mapPiece = mapPiece
   }
 
   /** Calls take effect in the order in which they came, also when a leader has given up waiting for the one before. */
@@ -42,30 +42,30 @@
 
   private async _receive (request: SnapshotRequest): Promise<ReceiveOutcome> {
     try {
-      return await this._takeIn(request)
+      return await this._appendChunk(request)
     } catch (error) {
       if (!(error instanceof DiskFullError)) throw error
-      return { kind: 'full', offsetBytes: this._receiving?.incoming.receivedBytes ?? 0, reason: error.message }
+      return { kind: 'full', offsetBytes: this._transfer?.incoming.receivedBytes ?? 0, reason: error.message }
     }
   }
 
-  private async _takeIn (request: SnapshotRequest): Promise<ReceiveOutcome> {
-    const { incoming } = await this._receivingOf(request)
+  private async _appendChunk (request: SnapshotRequest): Promise<ReceiveOutcome> {
+    const { incoming } = await this._transferFor(request)
     if (request.offsetBytes !== incoming.receivedBytes) return { kind: 'incomplete', offsetBytes: incoming.receivedBytes }
     await incoming.append(request.bytes)
     if (incoming.receivedBytes < request.totalBytes) return { kind: 'incomplete', offsetBytes: incoming.receivedBytes }
-    const finished = await incoming.finish(this._keep)
-    this._receiving = undefined
+    const finished = await incoming.finish(this._mapPiece)
+    this._transfer = undefined
     return finished.kind === 'read' ? { kind: 'complete', snapshot: finished.snapshot } : { kind: 'incomplete', offsetBytes: 0 }
   }
 
-  private async _receivingOf ({ lastIndex, term }: SnapshotRequest): Promise<Receiving> {
-    const present = this._receiving
+  private async _transferFor ({ lastIndex, term }: SnapshotRequest): Promise<Transfer> {
+    const present = this._transfer
     if (present?.lastIndex === lastIndex && present.term === term) return present
-    this._receiving = undefined
+    this._transfer = undefined
     await present?.incoming.abandon()
-    const receiving = { lastIndex, term, incoming: await this._storage.receiveSnapshot() }
-    this._receiving = receiving
-    return receiving
+    const transfer = { lastIndex, term, incoming: await this._storage.receiveSnapshot() }
+    this._transfer = transfer
+    return transfer
   }
 }
--- a/src/replication/log/startReport.ts
+++ b/src/replication/log/startReport.ts
@@ -35,9 +35,9 @@
   }
 
   /** The replica answers the others from now on. */
-  tellLoaded (): void {
+  logLoaded (): void {
     const { core, appliedIndex } = this._replica
-    core.parts.logger.event(ReplicationEvent.Loaded, {
+    core.options.logger.event(ReplicationEvent.Loaded, {
       ...this._loaded,
       ...this._durations,
       sinceStartMs: this._sinceStartMs(),
@@ -48,13 +48,13 @@
   }
 
   /** Waits until the replica has applied its own log, and tells so. */
-  async tellApplied (scope: Scope): Promise<void> {
+  async logApplied (scope: Scope): Promise<void> {
     const { core } = this._replica
-    const { clock } = core.parts
+    const { clock } = core.options
     while (!core.leader || !this._hasAppliedOwnLog()) await this._replica.applied.wait(scope, { clock, deadlineMs: clock.nowMs() + REVIEW_INTERVAL_MS })
     const { appliedIndex } = this._replica
     const entriesAppliedCount = appliedIndex - this._firstAppliedIndex
-    core.parts.logger.event(ReplicationEvent.OwnLogApplied, {
+    core.options.logger.event(ReplicationEvent.OwnLogApplied, {
       appliedIndex, entriesAppliedCount, leaderHostId: core.leader?.hostId, sinceStartMs: this._sinceStartMs()
     })
   }
@@ -65,7 +65,7 @@
   }
 
   private _sinceStartMs (): number {
-    const { clock, startedAtMs } = this._replica.core.parts
+    const { clock, startedAtMs } = this._replica.core.options
     return clock.nowMs() - startedAtMs
   }
 }
--- a/src/replication/log/voterWatch.ts
+++ b/src/replication/log/voterWatch.ts
@@ -29,21 +29,21 @@
     const answering = voters.filter(voter => !silent.includes(voter))
     const counts = { answeringCount: answering.length, votersCount: voters.length, quorumCount: quorumCount(voters.length) }
     for (const { replicaId, hostId } of silent) {
-      if (!this._silent.has(replicaId)) this._tell(ReplicationEvent.VoterSilent, { hostId, replicaId, ...counts })
+      if (!this._silent.has(replicaId)) this._log(ReplicationEvent.VoterSilent, { hostId, replicaId, ...counts })
     }
     for (const { replicaId, hostId } of answering) {
-      if (this._silent.has(replicaId)) this._tell(ReplicationEvent.VoterAnswers, { hostId, replicaId, ...counts })
+      if (this._silent.has(replicaId)) this._log(ReplicationEvent.VoterAnswers, { hostId, replicaId, ...counts })
     }
     this._silent = new Set(silent.map(({ replicaId }) => replicaId))
   }
 
   /** As long as its leader's quorum check allows: an election timeout without an answer. */
   private _isSilent ({ replicaId }: Member, leadership: Leadership): boolean {
-    const { clock, timings } = this._replica.core.parts
-    return leadership.heardAtMs(replicaId) < clock.nowMs() - timings.electionMaxMs
+    const { clock, timings } = this._replica.core.options
+    return leadership.lastSeenAtMs(replicaId) < clock.nowMs() - timings.electionMaxMs
   }
 
-  private _tell (event: ReplicationEvent, fields: Record<string, string | number>): void {
-    this._replica.core.parts.logger.event(event, fields)
+  private _log (event: ReplicationEvent, fields: Record<string, string | number>): void {
+    this._replica.core.options.logger.event(event, fields)
   }
 }
--- a/src/replication/log/voting.ts
+++ b/src/replication/log/voting.ts
@@ -17,7 +17,7 @@
 export enum CampaignOutcome {
   Won,
   /** Too few would vote for this replica: nothing has changed anywhere. */
-  NotWanted,
+  NotStarted,
   Lost
 }
 
@@ -44,7 +44,7 @@
   async onVote (request: VoteRequest): Promise<VoteReply> {
     const core = this._core
     if (!(await core.accepts(request))) return { kind: 'wrongReplica' }
-    if (this._isBound(request) || request.term < core.term) return { kind: 'refused', term: core.term }
+    if (this._isBoundByLease(request) || request.term < core.term) return { kind: 'refused', term: core.term }
     const isUpToDate = this._isUpToDate(request)
     if (request.isPreVote) {
       return isUpToDate && request.term > core.term ? { kind: 'granted' } : { kind: 'refused', term: core.term }
@@ -53,7 +53,7 @@
     const isFree = core.state.votedFor === null || core.state.votedFor === request.fromReplicaId
     if (isUpToDate && isFree) {
       core.state.setHardState({ term: request.term, votedFor: request.fromReplicaId })
-      core.noteVoteGiven()
+      core.recordVoteGranted()
     }
     await core.settled(this._scope)
     const isGiven = core.term === request.term && core.state.votedFor === request.fromReplicaId
@@ -61,7 +61,7 @@
   }
 
   /** Whether the lease of a leader forbids a vote; one that hands over has given its own up. */
-  private _isBound ({ isHandover, term }: VoteRequest): boolean {
+  private _isBoundByLease ({ isHandover, term }: VoteRequest): boolean {
     const core = this._core
     const isReleased = isHandover && term === core.term + 1 && core.role !== ReplicaRole.Leader
     return core.isBoundToLeader() && !isReleased
@@ -74,13 +74,13 @@
   async campaign (isHandover: boolean): Promise<CampaignOutcome> {
     const core = this._core
     const term = core.term + 1
-    if (!isHandover && !(await this._collect(term, BallotKind.PreVote))) return CampaignOutcome.NotWanted
-    if (core.term + 1 !== term || (core.isBoundToLeader() && !isHandover)) return CampaignOutcome.NotWanted
+    if (!isHandover && !(await this._collectVotes(term, BallotKind.PreVote))) return CampaignOutcome.NotStarted
+    if (core.term + 1 !== term || (core.isBoundToLeader() && !isHandover)) return CampaignOutcome.NotStarted
     core.becomeCandidate()
     core.state.setHardState({ term, votedFor: core.replicaId })
-    core.parts.logger.event(ReplicationEvent.ElectionBegun, { term })
+    core.options.logger.event(ReplicationEvent.ElectionStarted, { term })
     await core.settled(this._scope)
-    const isElected = this._isCandidateOf(term) && await this._collect(term, isHandover ? BallotKind.Handover : BallotKind.Vote)
+    const isElected = this._isCandidateOf(term) && await this._collectVotes(term, isHandover ? BallotKind.Handover : BallotKind.Vote)
     return isElected && this._isCandidateOf(term) ? CampaignOutcome.Won : CampaignOutcome.Lost
   }
 
@@ -94,8 +94,8 @@
   }
 
   /** Asks all voters at once; false as soon as the votes cannot suffice. */
-  private async _collect (term: number, kind: BallotKind): Promise<boolean> {
-    const { clock, timings } = this._core.parts
+  private async _collectVotes (term: number, kind: BallotKind): Promise<boolean> {
+    const { clock, timings } = this._core.options
     const voters = votersOf(this._core.members)
     const others = voters.filter(member => member.replicaId !== this._core.replicaId)
     const neededCount = quorumCount(voters.length)
@@ -103,7 +103,7 @@
     const counted = new Signal()
     const ballot = { grantedCount: 1, openCount: others.length }
     for (const member of others) {
-      this._ask(member, term, kind, progress).then(isGranted => {
+      this._requestVote(member, term, kind, progress).then(isGranted => {
         ballot.openCount--
         if (isGranted) ballot.grantedCount++
         counted.notify()
@@ -115,7 +115,7 @@
     return ballot.grantedCount >= neededCount
   }
 
-  private async _ask (member: Member, term: number, kind: BallotKind, progress: Progress): Promise<boolean> {
+  private async _requestVote (member: Member, term: number, kind: BallotKind, progress: Progress): Promise<boolean> {
     const { lastIndex, lastTerm } = this._core.state.log
     const address = { clusterId: this._core.clusterId ?? '', fromReplicaId: this._core.replicaId, toReplicaId: member.replicaId, term }
     const ballot = { isPreVote: kind === BallotKind.PreVote, isHandover: kind === BallotKind.Handover, lastIndex, lastTerm }
--- a/src/replication/replicationEvents.ts
+++ b/src/replication/replicationEvents.ts
@@ -5,9 +5,9 @@
 
 export enum ReplicationEvent {
   LeaderFollowed = 1010,
-  LeadershipBegun = 1011,
+  LeadershipStarted = 1011,
   LeadershipEnded = 1012,
-  ElectionBegun = 1013,
+  ElectionStarted = 1013,
   HandedOver = 1014,
   HandoverFailed = 1015,
   SnapshotTaken = 1020,
@@ -19,7 +19,7 @@
   VoterSilent = 1026,
   VoterAnswers = 1027,
   ClusterFormed = 1030,
-  JoinAsked = 1031,
+  JoinRequested = 1031,
   MemberAdded = 1032,
   MemberPromoted = 1033,
   MemberRemoved = 1034,
@@ -32,9 +32,9 @@
 
 export const replicationEventCatalogue: EventCatalogue = {
   [ReplicationEvent.LeaderFollowed]: { level: LogLevel.Info, text: 'This host follows another leader.', advice: 'Several an hour without restarts point to slow disks or a bad network.' },
-  [ReplicationEvent.LeadershipBegun]: { level: LogLevel.Info, text: 'This host leads.', advice: 'None.' },
+  [ReplicationEvent.LeadershipStarted]: { level: LogLevel.Info, text: 'This host leads.', advice: 'None.' },
   [ReplicationEvent.LeadershipEnded]: { level: LogLevel.Warn, text: 'This host no longer leads.', advice: 'Look at the reason; a lost quorum means that most control hosts are down or cut off.' },
-  [ReplicationEvent.ElectionBegun]: { level: LogLevel.Info, text: 'This host stands for election.', advice: 'None.' },
+  [ReplicationEvent.ElectionStarted]: { level: LogLevel.Info, text: 'This host stands for election.', advice: 'None.' },
   [ReplicationEvent.HandedOver]: { level: LogLevel.Info, text: 'This host stops leading as planned and asked another one to lead.', advice: 'None.' },
   [ReplicationEvent.HandoverFailed]: { level: LogLevel.Warn, text: 'This host stops leading, and no other one was ready to lead.', advice: 'Another one is elected after a time-out; look for hosts that are down or behind.' },
   [ReplicationEvent.SnapshotTaken]: { level: LogLevel.Info, text: 'A snapshot was taken and the log compacted.', advice: 'None.' },
@@ -46,7 +46,7 @@
   [ReplicationEvent.VoterSilent]: { level: LogLevel.Warn, text: 'A voter has not answered this leader for an election timeout.', advice: 'Look at that host. With answeringCount equal to quorumCount the next loss stops the store or control; with less, it has stopped.' },
   [ReplicationEvent.VoterAnswers]: { level: LogLevel.Info, text: 'A voter that was silent answers this leader again.', advice: 'None.' },
   [ReplicationEvent.ClusterFormed]: { level: LogLevel.Info, text: 'A new cluster was formed.', advice: 'Expected once, at the first start of all. If control held data before, stop and look for the old data folders.' },
-  [ReplicationEvent.JoinAsked]: { level: LogLevel.Info, text: 'The host asks to join the cluster.', advice: 'If it repeats, the cluster has no leader, or the host id is in use.' },
+  [ReplicationEvent.JoinRequested]: { level: LogLevel.Info, text: 'The host asks to join the cluster.', advice: 'If it repeats, the cluster has no leader, or the host id is in use.' },
   [ReplicationEvent.MemberAdded]: { level: LogLevel.Info, text: 'A replica was added as a learner.', advice: 'None.' },
   [ReplicationEvent.MemberPromoted]: { level: LogLevel.Info, text: 'A learner has caught up and votes.', advice: 'None.' },
   [ReplicationEvent.MemberDemoted]: { level: LogLevel.Info, text: 'A voter steps back: there are voters enough without it.', advice: 'Expected after a voter came back whose place was taken meanwhile.' },
--- a/src/replication/storage/disk.ts
+++ b/src/replication/storage/disk.ts
@@ -31,7 +31,7 @@
 }
 
 /** Writes a file so that it is either whole or absent, also after a loss of power. */
-export async function writeWhole (disk: Disk, name: string, bytes: Uint8Array): Promise<void> {
+export async function writeAtomically (disk: Disk, name: string, bytes: Uint8Array): Promise<void> {
   const temporaryName = `${name}${TEMPORARY_SUFFIX}`
   await disk.remove(temporaryName)
   const file = await disk.open(temporaryName)
--- a/src/replication/storage/fileDisk.ts
+++ b/src/replication/storage/fileDisk.ts
@@ -15,12 +15,12 @@
 
   /** Makes the folder if there is none. */
   static async open (folder: string): Promise<FileDisk> {
-    await guarded(`make ${folder}`, () => mkdir(folder, { recursive: true }))
+    await withStorageErrors(`make ${folder}`, () => mkdir(folder, { recursive: true }))
     return new FileDisk(folder)
   }
 
   async list (): Promise<string[]> {
-    const entries = await guarded(`list ${this._folder}`, () => readdir(this._folder, { withFileTypes: true }))
+    const entries = await withStorageErrors(`list ${this._folder}`, () => readdir(this._folder, { withFileTypes: true }))
     return entries.filter(entry => entry.isFile()).map(entry => entry.name)
   }
 
@@ -35,7 +35,7 @@
 
   async readRange (name: string, positionBytes: number, lengthBytes: number): Promise<Uint8Array | undefined> {
     try {
-      return await readPart(join(this._folder, name), positionBytes, lengthBytes)
+      return await readFileRange(join(this._folder, name), positionBytes, lengthBytes)
     } catch (error) {
       if ((error as NodeJS.ErrnoException).code === 'ENOENT') return undefined
       throw storageError(`read ${name}`, error)
@@ -44,7 +44,7 @@
 
   async open (name: string): Promise<DiskFile> {
     const path = join(this._folder, name)
-    return await guarded(`open ${name}`, async () => {
+    return await withStorageErrors(`open ${name}`, async () => {
       const created = await open(path, 'a')
       await created.close()
       const handle = await open(path, 'r+')
@@ -54,24 +54,24 @@
   }
 
   async rename (from: string, to: string): Promise<void> {
-    await guarded(`rename ${from}`, () => rename(join(this._folder, from), join(this._folder, to)))
+    await withStorageErrors(`rename ${from}`, () => rename(join(this._folder, from), join(this._folder, to)))
   }
 
   async remove (name: string): Promise<void> {
-    await guarded(`remove ${name}`, () => rm(join(this._folder, name), { force: true }))
+    await withStorageErrors(`remove ${name}`, () => rm(join(this._folder, name), { force: true }))
   }
 
   async setAside (names: string[], folder: string): Promise<void> {
     const target = join(this._folder, folder)
-    await guarded(`make ${folder}`, () => mkdir(target, { recursive: true }))
+    await withStorageErrors(`make ${folder}`, () => mkdir(target, { recursive: true }))
     for (const name of names) {
-      await guarded(`set ${name} aside`, () => rename(join(this._folder, name), join(target, name)))
+      await withStorageErrors(`set ${name} aside`, () => rename(join(this._folder, name), join(target, name)))
     }
     await this.syncFolder()
   }
 
   async syncFolder (): Promise<void> {
-    await guarded(`sync ${this._folder}`, async () => {
+    await withStorageErrors(`sync ${this._folder}`, async () => {
       const handle = await open(this._folder, 'r')
       try {
         await handle.sync()
@@ -99,7 +99,7 @@
   }
 
   async writeAt (positionBytes: number, bytes: Uint8Array): Promise<void> {
-    await guarded(`write ${this._name}`, async () => {
+    await withStorageErrors(`write ${this._name}`, async () => {
       let writtenBytes = 0
       while (writtenBytes < bytes.length) {
         const result = await this._handle.write(bytes, writtenBytes, bytes.length - writtenBytes, positionBytes + writtenBytes)
@@ -109,20 +109,20 @@
   }
 
   async truncate (lengthBytes: number): Promise<void> {
-    await guarded(`truncate ${this._name}`, () => this._handle.truncate(lengthBytes))
+    await withStorageErrors(`truncate ${this._name}`, () => this._handle.truncate(lengthBytes))
     this._lengthBytes = lengthBytes
   }
 
   async sync (): Promise<void> {
-    await guarded(`sync ${this._name}`, () => this._handle.datasync())
+    await withStorageErrors(`sync ${this._name}`, () => this._handle.datasync())
   }
 
   async close (): Promise<void> {
-    await guarded(`close ${this._name}`, () => this._handle.close())
+    await withStorageErrors(`close ${this._name}`, () => this._handle.close())
   }
 }
 
-async function readPart (path: string, positionBytes: number, lengthBytes: number): Promise<Uint8Array> {
+async function readFileRange (path: string, positionBytes: number, lengthBytes: number): Promise<Uint8Array> {
   const handle = await open(path, 'r')
   try {
     // Memory of its own: what is read may be kept for long.
@@ -139,16 +139,16 @@
   }
 }
 
-async function guarded<T> (what: string, work: () => Promise<T>): Promise<T> {
+async function withStorageErrors<T> (operation: string, work: () => Promise<T>): Promise<T> {
   try {
     return await work()
   } catch (error) {
-    throw storageError(what, error)
+    throw storageError(operation, error)
   }
 }
 
-function storageError (what: string, error: unknown): Error {
+function storageError (operation: string, error: unknown): Error {
   const { code } = error as NodeJS.ErrnoException
-  if (code === 'ENOSPC' || code === 'EDQUOT') return new DiskFullError(`cannot ${what}: ${(error as Error).message}`)
-  return new StorageError(`cannot ${what}: ${(error as Error).message}`)
+  if (code === 'ENOSPC' || code === 'EDQUOT') return new DiskFullError(`cannot ${operation}: ${(error as Error).message}`)
+  return new StorageError(`cannot ${operation}: ${(error as Error).message}`)
 }
--- a/src/replication/storage/incomingSnapshot.ts
+++ b/src/replication/storage/incomingSnapshot.ts
@@ -8,7 +8,7 @@
 import { readSnapshotFile, type SnapshotOutcome } from './snapshotFile.js'
 import { snapshotName } from './storageLoader.js'
 
-const FILE = `incoming${TEMPORARY_SUFFIX}`
+const FILE_NAME = `incoming${TEMPORARY_SUFFIX}`
 
 export class IncomingSnapshot {
   private readonly _disk: Disk
@@ -24,10 +24,10 @@
   }
 
   /** @param pendingFiles names of files that must not be taken for leftovers */
-  static async begin (disk: Disk, pendingFiles: Set<string>): Promise<IncomingSnapshot> {
-    pendingFiles.add(FILE)
-    await disk.remove(FILE)
-    return new IncomingSnapshot(disk, await disk.open(FILE), pendingFiles)
+  static async start (disk: Disk, pendingFiles: Set<string>): Promise<IncomingSnapshot> {
+    pendingFiles.add(FILE_NAME)
+    await disk.remove(FILE_NAME)
+    return new IncomingSnapshot(disk, await disk.open(FILE_NAME), pendingFiles)
   }
 
   get receivedBytes (): number {
@@ -41,27 +41,27 @@
 
   /**
    * All has come: the snapshot, if it is whole, synced under its own name.
-   * @param keep what is kept of each piece
+   * @param mapPiece what is kept of each piece
    */
-  async finish (keep: (piece: unknown) => unknown): Promise<SnapshotOutcome> {
+  async finish (mapPiece: (piece: unknown) => unknown): Promise<SnapshotOutcome> {
     if (!this._isClosed) await this._file.sync()
-    const read = await readSnapshotFile(this._disk, FILE, keep)
+    const read = await readSnapshotFile(this._disk, FILE_NAME, mapPiece)
     const name = read.kind === 'read' ? snapshotName(read.snapshot.lastIndex) : undefined
     if (name === undefined || this._pendingFiles.has(name)) {
       await this.abandon()
       return read.kind === 'read' ? { kind: 'damaged', reason: `${name} is being written here` } : read
     }
     await this._close()
-    await this._takeName(name)
-    this._pendingFiles.delete(FILE)
+    await this._publish(name)
+    this._pendingFiles.delete(FILE_NAME)
     return read
   }
 
   /** Another one has begun to come instead. */
   async abandon (): Promise<void> {
     await this._close()
-    await this._disk.remove(FILE)
-    this._pendingFiles.delete(FILE)
+    await this._disk.remove(FILE_NAME)
+    this._pendingFiles.delete(FILE_NAME)
   }
 
   private async _close (): Promise<void> {
@@ -70,9 +70,9 @@
     await this._file.close()
   }
 
-  private async _takeName (name: string): Promise<void> {
+  private async _publish (name: string): Promise<void> {
     this._pendingFiles.add(name)
-    await this._disk.rename(FILE, name)
+    await this._disk.rename(FILE_NAME, name)
     await this._disk.syncFolder()
   }
 }
--- a/src/replication/storage/logRecords.ts
+++ b/src/replication/storage/logRecords.ts
@@ -30,11 +30,11 @@
 const LENGTH_BYTES = 4
 const PREFIX_BYTES = LENGTH_BYTES + CHECKSUM_BYTES
 const MAGIC = Buffer.from('TDLOG001', 'latin1')
-const MARK_BYTES = 8
-const MARK_POSITION_BYTES = MAGIC.length
+const SYNC_MARK_BYTES = 8
+const SYNC_MARK_POSITION_BYTES = MAGIC.length
 const MAX_BATCH_START_BODY_BYTES = 16
 
-export const HEAD_BYTES = MAGIC.length + MARK_BYTES + CHECKSUM_BYTES
+export const HEADER_BYTES = MAGIC.length + SYNC_MARK_BYTES + CHECKSUM_BYTES
 
 export function encodeRecord (record: LogRecord): Buffer {
   const body = encoder.encode(toFields(record))
@@ -84,16 +84,16 @@
 }
 
 /** The head of a file that is synced up to a position. */
-export function encodeHead (syncedBytes: number): Buffer {
-  return Buffer.concat([MAGIC, encodeMark(syncedBytes).bytes])
+export function encodeHeader (syncedBytes: number): Buffer {
+  return Buffer.concat([MAGIC, encodeSyncMark(syncedBytes).bytes])
 }
 
 /** What is written over part of the head after each sync, and where. */
-export function encodeMark (syncedBytes: number): { positionBytes: number, bytes: Buffer } {
-  const bytes = Buffer.alloc(MARK_BYTES + CHECKSUM_BYTES)
+export function encodeSyncMark (syncedBytes: number): { positionBytes: number, bytes: Buffer } {
+  const bytes = Buffer.alloc(SYNC_MARK_BYTES + CHECKSUM_BYTES)
   bytes.writeBigUInt64BE(BigInt(syncedBytes), 0)
-  writeChecksum(bytes, MARK_BYTES, bytes.subarray(0, MARK_BYTES))
-  return { positionBytes: MARK_POSITION_BYTES, bytes }
+  writeChecksum(bytes, SYNC_MARK_BYTES, bytes.subarray(0, SYNC_MARK_BYTES))
+  return { positionBytes: SYNC_MARK_POSITION_BYTES, bytes }
 }
 
 export type ReadOutcome =
@@ -103,16 +103,16 @@
 /** Reads a log file whole. */
 export function readRecords (bytes: Uint8Array): ReadOutcome {
   const file = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength)
-  if (file.length < HEAD_BYTES || !file.subarray(0, MAGIC.length).equals(MAGIC)) return { kind: 'damaged', reason: 'it has no head' }
+  if (file.length < HEADER_BYTES || !file.subarray(0, MAGIC.length).equals(MAGIC)) return { kind: 'damaged', reason: 'it has no head' }
   const records: LogRecord[] = []
-  let positionBytes = HEAD_BYTES
+  let positionBytes = HEADER_BYTES
   for (;;) {
     const parsed = readRecordAt(file, positionBytes)
     if (!parsed) break
     records.push(parsed.record)
     positionBytes = parsed.endBytes
   }
-  const syncedBytes = Math.max(readMark(file), latestBatchStart(file, positionBytes))
+  const syncedBytes = Math.max(readSyncMark(file), latestBatchStart(file, positionBytes))
   if (syncedBytes > positionBytes) {
     return { kind: 'damaged', reason: `byte ${positionBytes} is unreadable, but ${syncedBytes} bytes had been synced` }
   }
@@ -120,21 +120,21 @@
 }
 
 function readRecordAt (file: Buffer, positionBytes: number): { record: LogRecord, endBytes: number } | undefined {
-  const bodyAtBytes = positionBytes + PREFIX_BYTES
-  if (bodyAtBytes > file.length) return undefined
+  const bodyPositionBytes = positionBytes + PREFIX_BYTES
+  if (bodyPositionBytes > file.length) return undefined
   const lengthBytes = file.readUInt32BE(positionBytes)
-  const endBytes = bodyAtBytes + lengthBytes
+  const endBytes = bodyPositionBytes + lengthBytes
   if (lengthBytes === 0 || endBytes > file.length) return undefined
-  const body = file.subarray(bodyAtBytes, endBytes)
+  const body = file.subarray(bodyPositionBytes, endBytes)
   if (!checksumMatches(file, positionBytes + LENGTH_BYTES, body)) return undefined
   const record = fromFields(decoder.decode(body))
   return record && { record, endBytes }
 }
 
 /** The mark in the head; 0 when it is torn itself. */
-function readMark (file: Buffer): number {
-  const mark = file.subarray(MARK_POSITION_BYTES, MARK_POSITION_BYTES + MARK_BYTES)
-  const matches = checksumMatches(file, MARK_POSITION_BYTES + MARK_BYTES, mark)
+function readSyncMark (file: Buffer): number {
+  const mark = file.subarray(SYNC_MARK_POSITION_BYTES, SYNC_MARK_POSITION_BYTES + SYNC_MARK_BYTES)
+  const matches = checksumMatches(file, SYNC_MARK_POSITION_BYTES + SYNC_MARK_BYTES, mark)
   return matches ? Number(mark.readBigUInt64BE(0)) : 0
 }
 
--- a/src/replication/storage/replicaStorage.ts
+++ b/src/replication/storage/replicaStorage.ts
@@ -9,11 +9,11 @@
 import type { HardState, LogEntry } from '../log/logEntry.js'
 import type { SnapshotPieces } from '../replicatedState.js'
 import { loadChecksum } from './checksum.js'
-import { TEMPORARY_SUFFIX, writeWhole, type Disk, type DiskFile } from './disk.js'
-import { encodeHead, encodeMark, encodeRecord, HEAD_BYTES, type LogRecord } from './logRecords.js'
+import { TEMPORARY_SUFFIX, writeAtomically, type Disk, type DiskFile } from './disk.js'
+import { encodeHeader, encodeSyncMark, encodeRecord, HEADER_BYTES, type LogRecord } from './logRecords.js'
 import { IncomingSnapshot } from './incomingSnapshot.js'
 import { encodeIdentity, type ReplicaIdentity } from './replicaFile.js'
-import { writeSnapshotFile, type SnapshotHead, type WrittenSnapshot } from './snapshotFile.js'
+import { writeSnapshotFile, type SnapshotHeader, type WrittenSnapshot } from './snapshotFile.js'
 import { IDENTITY_FILE, latestLogSequence, loadReplica, logName, snapshotName, type LoadedReplica } from './storageLoader.js'
 
 export interface OpenedReplica {
@@ -76,14 +76,14 @@
       case 'damaged':
         damage = outcome.reason
         await disk.setAside(await disk.list(), `damaged-${newId()}`)
-        loaded = await makeReplica(disk, hostId, newId())
+        loaded = await createReplica(disk, hostId, newId())
         break
       case 'empty':
-        loaded = await makeReplica(disk, hostId, newId())
+        loaded = await createReplica(disk, hostId, newId())
     }
     const log = await disk.open(logName(loaded.logSequence))
     const storage = new ReplicaStorage(disk, options, loaded, log)
-    await storage._cutTornTail(loaded.tornBytes)
+    await storage._truncateTornTail(loaded.tornBytes)
     await storage._removeLeftovers()
     return { storage, loaded, damage }
   }
@@ -96,14 +96,14 @@
   async adoptCluster (clusterId: string): Promise<void> {
     invariant(this._identity.clusterId === null, 'a replica belongs to one cluster')
     const identity = { ...this._identity, clusterId }
-    await this._guarded(() => writeWhole(this._disk, IDENTITY_FILE, encodeIdentity(identity)))
+    await this._failOnError(() => writeAtomically(this._disk, IDENTITY_FILE, encodeIdentity(identity)))
     this._identity = identity
   }
 
   /** Appends records as one batch with one sync. */
   async append (records: LogRecord[]): Promise<void> {
     const batch = Buffer.concat([{ kind: 'batchStart', syncedBytes: this._logBytes } as const, ...records].map(encodeRecord))
-    await this._guarded(async () => {
+    await this._failOnError(async () => {
       // At its place, not at the end of the file: a batch that a full disk refused may have left a piece there.
       await this._log.writeAt(this._logBytes, batch)
       if (this._options.syncs) await this._log.sync()
@@ -114,7 +114,7 @@
 
   /** Not synced itself: it outlives the process, and a loss of power, or a disk that is full by now, only makes it older. */
   private async _writeMark (): Promise<void> {
-    const mark = encodeMark(this._logBytes)
+    const mark = encodeSyncMark(this._logBytes)
     try {
       await this._log.writeAt(mark.positionBytes, mark.bytes)
     } catch (error) {
@@ -127,13 +127,13 @@
    * on being written. It takes effect by `compact`; until then a start finds
    * the earlier one. Undefined when a snapshot of the same entry is on its way.
    */
-  async writeSnapshot (head: SnapshotHead, pieces: SnapshotPieces): Promise<WrittenSnapshot | undefined> {
-    const name = snapshotName(head.lastIndex)
+  async writeSnapshot (header: SnapshotHeader, pieces: SnapshotPieces): Promise<WrittenSnapshot | undefined> {
+    const name = snapshotName(header.lastIndex)
     if (this._pendingFiles.has(name)) return undefined
     const files = [name, `${name}${TEMPORARY_SUFFIX}`]
     for (const file of files) this._pendingFiles.add(file)
     try {
-      return await this._guarded(() => writeSnapshotFile(this._disk, name, head, pieces))
+      return await this._failOnError(() => writeSnapshotFile(this._disk, name, header, pieces))
     } catch (error) {
       for (const file of files) this._pendingFiles.delete(file)
       throw error
@@ -144,17 +144,17 @@
   async discardSnapshot ({ lastIndex }: WrittenSnapshot): Promise<void> {
     const name = snapshotName(lastIndex)
     this._pendingFiles.delete(name)
-    if (lastIndex !== this._snapshot?.lastIndex) await this._guarded(() => this._disk.remove(name))
+    if (lastIndex !== this._snapshot?.lastIndex) await this._failOnError(() => this._disk.remove(name))
   }
 
   /** Begins to take in a leader's snapshot; what was taken in of another one is dropped. */
   async receiveSnapshot (): Promise<IncomingSnapshot> {
-    return await this._guarded(() => IncomingSnapshot.begin(this._disk, this._pendingFiles))
+    return await this._failOnError(() => IncomingSnapshot.start(this._disk, this._pendingFiles))
   }
 
   /** Replaces snapshot and log in one step: after a crash there is the old pair or the new one. */
   async compact (compaction: Compaction): Promise<void> {
-    await this._guarded(async () => {
+    await this._failOnError(async () => {
       const { snapshot, hardState, entries } = compaction
       const content = logContent([
         { kind: 'base', snapshotIndex: snapshot.lastIndex, snapshotTerm: snapshot.lastTerm },
@@ -162,7 +162,7 @@
         ...entries.map(entry => ({ kind: 'entry', entry } as const))
       ])
       const sequence = this._logSequence + 1
-      await writeWhole(this._disk, logName(sequence), content)
+      await writeAtomically(this._disk, logName(sequence), content)
       await this._log.close()
       this._log = await this._disk.open(logName(sequence))
       this._logSequence = sequence
@@ -181,7 +181,7 @@
   }
 
   /** A part of a snapshot as it lies on disk; undefined when a later one has replaced it. */
-  async readSnapshotPart ({ lastIndex }: WrittenSnapshot, positionBytes: number, lengthBytes: number): Promise<Uint8Array | undefined> {
+  async readSnapshotChunk ({ lastIndex }: WrittenSnapshot, positionBytes: number, lengthBytes: number): Promise<Uint8Array | undefined> {
     return await this._disk.readRange(snapshotName(lastIndex), positionBytes, lengthBytes)
   }
 
@@ -189,7 +189,7 @@
     await this._log.close()
   }
 
-  private async _guarded<T> (work: () => Promise<T>): Promise<T> {
+  private async _failOnError<T> (work: () => Promise<T>): Promise<T> {
     if (this._failed) throw new StorageError('the storage has failed before')
     try {
       return await work()
@@ -200,7 +200,7 @@
     }
   }
 
-  private async _cutTornTail (tornBytes: number): Promise<void> {
+  private async _truncateTornTail (tornBytes: number): Promise<void> {
     if (tornBytes === 0) return
     await this._log.truncate(this._logBytes)
     await this._log.sync()
@@ -218,17 +218,17 @@
 }
 
 /** The identity comes last: a folder with one has a log. */
-async function makeReplica (disk: Disk, hostId: string, replicaId: string): Promise<LoadedReplica> {
+async function createReplica (disk: Disk, hostId: string, replicaId: string): Promise<LoadedReplica> {
   const logSequence = (latestLogSequence(await disk.list()) ?? 0) + 1
   const content = logContent([{ kind: 'base', snapshotIndex: 0, snapshotTerm: 0 }])
-  await writeWhole(disk, logName(logSequence), content)
+  await writeAtomically(disk, logName(logSequence), content)
   const identity: ReplicaIdentity = { replicaId, hostId, clusterId: null }
-  await writeWhole(disk, IDENTITY_FILE, encodeIdentity(identity))
+  await writeAtomically(disk, IDENTITY_FILE, encodeIdentity(identity))
   const hardState = { term: 0, votedFor: null }
   return { identity, hardState, snapshot: undefined, snapshotLengthBytes: 0, entries: [], logSequence, logBytes: content.length, tornBytes: 0 }
 }
 
 function logContent (records: LogRecord[]): Buffer {
   const body = Buffer.concat(records.map(encodeRecord))
-  return Buffer.concat([encodeHead(HEAD_BYTES + body.length), body])
+  return Buffer.concat([encodeHeader(HEADER_BYTES + body.length), body])
 }
--- a/src/replication/storage/snapshotFile.ts
+++ b/src/replication/storage/snapshotFile.ts
@@ -15,23 +15,23 @@
 import { CHECKSUM_BYTES, checksumMatches, writeChecksum } from './checksum.js'
 import { TEMPORARY_SUFFIX, type Disk, type DiskFile } from './disk.js'
 
-const headSchema = z.object({
+const headerSchema = z.object({
   lastIndex: z.int(),
   lastTerm: z.int(),
   /** Wall clock of the entry at lastIndex, which later entries do not go behind. */
   lastAtMs: z.number(),
   members: z.array(memberSchema)
 })
-export type SnapshotHead = z.infer<typeof headSchema>
+export type SnapshotHeader = z.infer<typeof headerSchema>
 
 /** A snapshot as it was read: the pieces go to the state. */
-export interface Snapshot extends SnapshotHead {
+export interface Snapshot extends SnapshotHeader {
   pieces: unknown[]
   /** Length of its file. */
   lengthBytes: number
 }
 
-const endSchema = z.object({ piecesCount: z.int() })
+const footerSchema = z.object({ piecesCount: z.int() })
 
 const LENGTH_BYTES = 4
 const PREFIX_BYTES = LENGTH_BYTES + CHECKSUM_BYTES
@@ -63,20 +63,20 @@
  * Writes a snapshot so that its file is either whole or absent, also after a
  * loss of power; other tasks get their turn after every write.
  */
-export async function writeSnapshotFile (disk: Disk, name: string, head: SnapshotHead, pieces: SnapshotPieces): Promise<WrittenSnapshot> {
+export async function writeSnapshotFile (disk: Disk, name: string, header: SnapshotHeader, pieces: SnapshotPieces): Promise<WrittenSnapshot> {
   const temporaryName = `${name}${TEMPORARY_SUFFIX}`
   await disk.remove(temporaryName)
-  const lengthBytes = await writeTemporary(disk, temporaryName, head, pieces)
+  const lengthBytes = await writeTemporary(disk, temporaryName, header, pieces)
   await disk.rename(temporaryName, name)
   await disk.syncFolder()
-  return { lastIndex: head.lastIndex, lastTerm: head.lastTerm, lengthBytes }
+  return { lastIndex: header.lastIndex, lastTerm: header.lastTerm, lengthBytes }
 }
 
 /** What a full disk has refused is taken away again, so that the log has the room. */
-async function writeTemporary (disk: Disk, name: string, head: SnapshotHead, pieces: SnapshotPieces): Promise<number> {
+async function writeTemporary (disk: Disk, name: string, header: SnapshotHeader, pieces: SnapshotPieces): Promise<number> {
   const file = await disk.open(name)
   try {
-    const lengthBytes = await writeFrames(file, head, pieces)
+    const lengthBytes = await writeFrames(file, header, pieces)
     await file.sync()
     await file.close()
     return lengthBytes
@@ -87,9 +87,9 @@
   }
 }
 
-async function writeFrames (file: DiskFile, head: SnapshotHead, pieces: SnapshotPieces): Promise<number> {
+async function writeFrames (file: DiskFile, header: SnapshotHeader, pieces: SnapshotPieces): Promise<number> {
   let lengthBytes = 0
-  for (const value of framedValues(head, pieces)) {
+  for (const value of framedValues(header, pieces)) {
     const { prefix, body } = encodeFrame(value)
     await file.append(prefix)
     await file.append(body)
@@ -99,8 +99,8 @@
   return lengthBytes
 }
 
-function * framedValues (head: SnapshotHead, pieces: SnapshotPieces): Iterable<unknown> {
-  yield head
+function * framedValues (header: SnapshotHeader, pieces: SnapshotPieces): Iterable<unknown> {
+  yield header
   let piecesCount = 0
   for (const piece of pieces) {
     piecesCount++
@@ -113,9 +113,9 @@
 
 /**
  * Reads a snapshot file frame by frame.
- * @param keep what is kept of a piece that was read
+ * @param mapPiece what is kept of a piece that was read
  */
-export async function readSnapshotFile (disk: Disk, name: string, keep = (piece: unknown): unknown => piece): Promise<SnapshotOutcome> {
+export async function readSnapshotFile (disk: Disk, name: string, mapPiece = (piece: unknown): unknown => piece): Promise<SnapshotOutcome> {
   const values: unknown[] = []
   let positionBytes = 0
   for (;;) {
@@ -124,7 +124,7 @@
     if (frame.kind === 'ended') break
     if (frame.kind === 'damaged') return frame
     // The head is the first value.
-    values.push(positionBytes === 0 ? frame.value : keep(frame.value))
+    values.push(positionBytes === 0 ? frame.value : mapPiece(frame.value))
     positionBytes = frame.endBytes
     await nextTurn()
   }
@@ -132,12 +132,12 @@
 }
 
 function snapshotOf (values: unknown[], lengthBytes: number): SnapshotOutcome {
-  const head = headSchema.safeParse(values[0])
-  const end = endSchema.safeParse(values.at(-1))
-  if (!head.success || values.length < 2) return { kind: 'damaged', reason: 'its head is malformed' }
+  const header = headerSchema.safeParse(values[0])
+  const footer = footerSchema.safeParse(values.at(-1))
+  if (!header.success || values.length < 2) return { kind: 'damaged', reason: 'its head is malformed' }
   const pieces = values.slice(1, -1)
-  if (!end.success || end.data.piecesCount !== pieces.length) return { kind: 'damaged', reason: 'its end is missing' }
-  return { kind: 'read', snapshot: { ...head.data, pieces, lengthBytes } }
+  if (!footer.success || footer.data.piecesCount !== pieces.length) return { kind: 'damaged', reason: 'its end is missing' }
+  return { kind: 'read', snapshot: { ...header.data, pieces, lengthBytes } }
 }
 
 type FrameOutcome = { kind: 'read', value: unknown, endBytes: number } | { kind: 'ended' } | { kind: 'damaged', reason: string }
@@ -145,14 +145,14 @@
 async function readFrame (disk: Disk, name: string, positionBytes: number): Promise<FrameOutcome> {
   const prefix = await disk.readRange(name, positionBytes, PREFIX_BYTES)
   if (!prefix || prefix.length === 0) return { kind: 'ended' }
-  const cutShort: FrameOutcome = { kind: 'damaged', reason: `the frame at byte ${positionBytes} is cut short` }
-  if (prefix.length < PREFIX_BYTES) return cutShort
-  const head = Buffer.from(prefix.buffer, prefix.byteOffset, prefix.byteLength)
-  const lengthBytes = head.readUInt32BE(0)
+  const truncated: FrameOutcome = { kind: 'damaged', reason: `the frame at byte ${positionBytes} is cut short` }
+  if (prefix.length < PREFIX_BYTES) return truncated
+  const prefixBuffer = Buffer.from(prefix.buffer, prefix.byteOffset, prefix.byteLength)
+  const lengthBytes = prefixBuffer.readUInt32BE(0)
   if (lengthBytes > MAX_FRAME_BYTES) return { kind: 'damaged', reason: `the frame at byte ${positionBytes} has an impossible length` }
   const body = await disk.readRange(name, positionBytes + PREFIX_BYTES, lengthBytes)
-  if (!body || body.length < lengthBytes) return cutShort
-  if (!checksumMatches(head, LENGTH_BYTES, body)) return { kind: 'damaged', reason: `its checksum does not match at byte ${positionBytes}` }
+  if (!body || body.length < lengthBytes) return truncated
+  if (!checksumMatches(prefixBuffer, LENGTH_BYTES, body)) return { kind: 'damaged', reason: `its checksum does not match at byte ${positionBytes}` }
   // Byte arrays of the value are views into the frame, which belongs to them.
   const value: unknown = decoder.decode(new Uint8Array(body.buffer, body.byteOffset, body.byteLength))
   return { kind: 'read', value, endBytes: positionBytes + PREFIX_BYTES + lengthBytes }
--- a/src/replication/storage/storageLoader.ts
+++ b/src/replication/storage/storageLoader.ts
@@ -70,7 +70,7 @@
   if (read.kind === 'damaged') return { kind: 'damaged', reason: `${name}: ${read.reason}` }
   const replayed = replay(read.records)
   if (replayed.kind === 'damaged') return { kind: 'damaged', reason: `${name}: ${replayed.reason}` }
-  const base = await loadBase(disk, replayed.snapshotIndex)
+  const base = await loadBaseSnapshot(disk, replayed.snapshotIndex)
   if (base.kind === 'damaged') return base
   const { hardState, entries } = replayed
   const replica = { identity, hardState, entries, snapshot: base.snapshot, snapshotLengthBytes: base.snapshot?.lengthBytes ?? 0, logSequence, logBytes: read.validBytes, tornBytes: read.tornBytes }
@@ -79,7 +79,7 @@
 
 type BaseOutcome = { kind: 'read', snapshot: Snapshot | undefined } | { kind: 'damaged', reason: string }
 
-async function loadBase (disk: Disk, snapshotIndex: number): Promise<BaseOutcome> {
+async function loadBaseSnapshot (disk: Disk, snapshotIndex: number): Promise<BaseOutcome> {
   if (snapshotIndex === 0) return { kind: 'read', snapshot: undefined }
   const name = snapshotName(snapshotIndex)
   const read = await readSnapshotFile(disk, name)
@@ -102,20 +102,20 @@
   const base = records[0]
   if (base?.kind !== 'base') return { kind: 'damaged', reason: 'its first record is unreadable' }
   const hardState = records.findLast(record => record.kind === 'hardState')?.hardState ?? { term: 0, votedFor: null }
-  const { entries, misplaced } = replayEntries(records)
-  if (misplaced) return { kind: 'damaged', reason: `entry ${misplaced.index} does not follow on the one before` }
+  const { entries, outOfOrder: outOfOrder } = replayEntries(records)
+  if (outOfOrder) return { kind: 'damaged', reason: `entry ${outOfOrder.index} does not follow on the one before` }
   const firstIndex = entries[0]?.index ?? base.snapshotIndex + 1
   if (firstIndex > base.snapshotIndex + 1) return { kind: 'damaged', reason: `entries ${base.snapshotIndex + 1} to ${firstIndex - 1} are missing` }
   return { kind: 'replayed', snapshotIndex: base.snapshotIndex, hardState, entries }
 }
 
-function replayEntries (records: LogRecord[]): { entries: LogEntry[], misplaced?: LogEntry } {
+function replayEntries (records: LogRecord[]): { entries: LogEntry[], outOfOrder?: LogEntry } {
   const entries: LogEntry[] = []
   for (const record of records) {
     if (record.kind !== 'entry') continue
     const firstIndex = entries[0]?.index ?? record.entry.index
     const position = record.entry.index - firstIndex
-    if (position < 0 || position > entries.length) return { entries, misplaced: record.entry }
+    if (position < 0 || position > entries.length) return { entries, outOfOrder: record.entry }
     entries.length = position
     entries.push(record.entry)
   }
--- a/src/transport/memoryTransport.ts
+++ b/src/transport/memoryTransport.ts
@@ -10,7 +10,7 @@
 /** What happens to one message; undefined loses it. */
 export type DelayMs = (from: string, to: string) => number | undefined
 
-interface Listening {
+interface RegisteredListener {
   scope: Scope
   onConnection: (connection: Connection) => void
 }
@@ -19,7 +19,7 @@
 export class MemoryNetwork {
   private readonly _clock: Clock
   private readonly _delayMs: DelayMs
-  private readonly _listening = new Map<string, Listening>()
+  private readonly _listeners = new Map<string, RegisteredListener>()
   private readonly _connections = new Set<MemoryConnection>()
   private readonly _cuts = new Set<string>()
 
@@ -49,31 +49,31 @@
   /** Breaks every connection of a host, as its process ending does. */
   reset (host: string): void {
     for (const connection of [...this._connections]) {
-      if (connection.touches(host)) connection.close('reset')
+      if (connection.involves(host)) connection.close('reset')
     }
   }
 
   private _connect (localHost: string, address: string, scope: Scope): ConnectOutcome {
     const remoteHost = hostOf(address)
-    const listening = this._listening.get(address)
+    const listening = this._listeners.get(address)
     if (!listening || listening.scope.isClosed || this._isCut(localHost, remoteHost)) {
       return { kind: 'unreachable', reason: `nothing answers at ${address}` }
     }
-    const near = new MemoryConnection(scope.child(`to ${address}`), localHost, remoteHost, this._deliverer())
-    const far = new MemoryConnection(listening.scope.child(`from ${localHost}`), remoteHost, localHost, this._deliverer())
-    near.pairWith(far)
-    far.pairWith(near)
-    for (const connection of [near, far]) {
+    const local = new MemoryConnection(scope.child(`to ${address}`), localHost, remoteHost, this._createDeliver())
+    const remote = new MemoryConnection(listening.scope.child(`from ${localHost}`), remoteHost, localHost, this._createDeliver())
+    local.pairWith(remote)
+    remote.pairWith(local)
+    for (const connection of [local, remote]) {
       this._connections.add(connection)
       connection.scope.onClose(() => this._connections.delete(connection))
     }
-    listening.onConnection(far)
-    return { kind: 'connected', connection: near }
+    listening.onConnection(remote)
+    return { kind: 'connected', connection: local }
   }
 
   private _listen (address: string, scope: Scope, onConnection: (connection: Connection) => void): Listener {
-    this._listening.set(address, { scope, onConnection })
-    const remove = (): void => { this._listening.delete(address) }
+    this._listeners.set(address, { scope, onConnection })
+    const remove = (): void => { this._listeners.delete(address) }
     scope.onClose(remove)
     return { address, close: async () => remove() }
   }
@@ -82,7 +82,7 @@
     return this._cuts.has(`${from}|${to}`)
   }
 
-  private _deliverer (): Deliver {
+  private _createDeliver (): Deliver {
     let lastAtMs = 0
     return (from, to, deliver) => {
       const delayMs = this._isCut(from, to) ? undefined : this._delayMs(from, to)
@@ -102,7 +102,7 @@
   private readonly _to: string
   private readonly _deliver: Deliver
   private readonly _listeners: Array<(message: unknown) => void> = []
-  private _other: MemoryConnection | undefined
+  private _remote: MemoryConnection | undefined
 
   constructor (scope: Scope, from: string, to: string, deliver: Deliver) {
     this.scope = scope
@@ -111,12 +111,12 @@
     this._deliver = deliver
   }
 
-  touches (host: string): boolean {
+  involves (host: string): boolean {
     return this._from === host || this._to === host
   }
 
   pairWith (other: MemoryConnection): void {
-    this._other = other
+    this._remote = other
     this.scope.onClose(() => this._deliver(this._from, this._to, () => other.scope.close('closed by the other side')))
   }
 
@@ -127,7 +127,7 @@
   send (message: unknown): void {
     if (this.scope.isClosed) return
     const copy: unknown = decode(encode(message))
-    this._deliver(this._from, this._to, () => this._other?._receive(copy))
+    this._deliver(this._from, this._to, () => this._remote?._receive(copy))
   }
 
   onMessage (listener: (message: unknown) => void): void {
--- a/src/transport/peerLink.ts
+++ b/src/transport/peerLink.ts
@@ -21,7 +21,7 @@
   private readonly _handlers: RpcHandlers
   private readonly _onFatal: (error: unknown) => void
   private _peer: RpcPeer | undefined
-  private _opening: Promise<RpcPeer | undefined> | undefined
+  private _connecting: Promise<RpcPeer | undefined> | undefined
   private _unansweredCount = 0
 
   constructor (address: string, transport: Transport, scope: Scope, handlers: RpcHandlers, onFatal: (error: unknown) => void) {
@@ -44,8 +44,8 @@
 
   private async _open (clock: Clock): Promise<RpcPeer | undefined> {
     if (this._peer && !this._peer.connection.scope.isClosed) return this._peer
-    this._opening ??= this._connect(clock).finally(() => { this._opening = undefined })
-    return await this._opening
+    this._connecting ??= this._connect(clock).finally(() => { this._connecting = undefined })
+    return await this._connecting
   }
 
   private async _connect (clock: Clock): Promise<RpcPeer | undefined> {
--- a/src/transport/rpcPeer.ts
+++ b/src/transport/rpcPeer.ts
@@ -69,7 +69,7 @@
   readonly connection: Connection
   private readonly _handlers: RpcHandlers
   private readonly _onFatal: (error: unknown) => void
-  private readonly _waiting = new Map<number, (outcome: CallOutcome<unknown>) => void>()
+  private readonly _pendingCalls = new Map<number, (outcome: CallOutcome<unknown>) => void>()
   private _nextId = 1
 
   /** @param onFatal called when a handler throws: a broken invariant, not an outcome */
@@ -78,21 +78,21 @@
     this._handlers = handlers
     this._onFatal = onFatal
     connection.onMessage(message => this._onFrame(message))
-    connection.scope.onClose(() => this._loseAll())
+    connection.scope.onClose(() => this._failPendingCalls())
   }
 
   /** Calls a method; the deadline of the progress bounds the wait. */
   async call<Request, Reply> (method: RpcMethod<Request, Reply>, body: Request, progress: Progress): Promise<CallOutcome<Reply>> {
     if (this.connection.scope.isClosed) return { kind: 'unserved', reason: 'not connected' }
     const id = this._nextId++
-    const reply = new Promise<CallOutcome<unknown>>(resolve => this._waiting.set(id, resolve))
+    const reply = new Promise<CallOutcome<unknown>>(resolve => this._pendingCalls.set(id, resolve))
     this.connection.send({ kind: FrameKind.Call, id, method: method.name, remainingMs: progress.remainingMs(), body })
     try {
       const raced = await progress.race(reply)
       if (raced.kind === 'deadlinePassed') return { kind: 'lost', reason: `no reply to ${method.name} in time` }
       return this._checkReply(method, raced.value)
     } finally {
-      this._waiting.delete(id)
+      this._pendingCalls.delete(id)
     }
   }
 
@@ -114,10 +114,10 @@
     return { kind: 'lost', reason: `malformed reply to ${method.name}: ${parsed.error.message}` }
   }
 
-  private _loseAll (): void {
+  private _failPendingCalls (): void {
     const reason = this.connection.scope.closeReason ?? 'connection closed'
-    for (const resolve of this._waiting.values()) resolve({ kind: 'lost', reason })
-    this._waiting.clear()
+    for (const resolve of this._pendingCalls.values()) resolve({ kind: 'lost', reason })
+    this._pendingCalls.clear()
   }
 
   private _onFrame (message: unknown): void {
@@ -130,10 +130,10 @@
         this._serve(frame.id, frame.method ?? '', frame.body, frame.remainingMs ?? 0).catch(error => this._onHandlerError(error))
         return
       case FrameKind.Reply:
-        this._waiting.get(frame.id ?? 0)?.({ kind: 'replied', body: frame.body })
+        this._pendingCalls.get(frame.id ?? 0)?.({ kind: 'replied', body: frame.body })
         return
       case FrameKind.Unserved:
-        this._waiting.get(frame.id ?? 0)?.({ kind: 'unserved', reason: String(frame.body) })
+        this._pendingCalls.get(frame.id ?? 0)?.({ kind: 'unserved', reason: String(frame.body) })
     }
   }
 
