--- a/src/replication/log/clusterFormation.ts
+++ b/src/replication/log/clusterFormation.ts
@@ -1,9 +1,9 @@
 /**
- * How a replica without a cluster finds one. If any other host belongs to a
- * cluster, it joins that. A new cluster is formed only when every initial
- * member answers and none belongs to one yet, and only by the first of them
- * in the order of host ids: a host whose disk was wiped therefore never
- * starts a second cluster beside the survivors.
+ * Finds a cluster for a replica that has none. If any other host belongs to a
+ * cluster, the replica joins that one. A new cluster is formed only when every
+ * initial member answers and none belongs to a cluster yet, and only by the one
+ * with the lowest host id. A host whose disk was wiped therefore never starts a
+ * second cluster beside the surviving one.
  */
 import { sleepUntil } from '../../utils/clock.js'
 import { Progress } from '../../utils/progress.js'
@@ -28,19 +28,19 @@
 }
 
 export interface FormationOptions {
-  /** Hosts to ask for the cluster; those of the first start, who form it. */
+  /** Hosts that are queried for an existing cluster; at the first start, they form it. */
   initialMembers: InitialMember[]
-  /** False for a host that must only ever join. */
+  /** False for a host that may only join an existing cluster. */
   mayForm: boolean
 }
 
-/** Asks the cluster that a host belongs to to take the replica in. */
+/** Requests to join the cluster of the host `via`; resolves with a description of the answer for the log. */
 export type JoinCall = (via: IdentifyReply, newcomer: Omit<Member, 'role'>, progress: Progress) => Promise<string>
 
 const RETRY_MS = 250
 const REQUEST_TIMEOUT_MS = 1_000
 const LOG_INTERVAL_TRIES_COUNT = 20
-/** A member that hears of no leader for so long asks whether it still is one. */
+/** A member that no leader has called for this long checks whether it was removed from the members. */
 const LEADERLESS_TIMEOUT_MS = 3_000
 
 export class ClusterFormation {
@@ -59,7 +59,7 @@
     this._join = join
   }
 
-  /** Sees to it that the replica is among the members of a cluster, also after it was struck from them. */
+  /** Keeps the replica a member of a cluster, and rejoins after it was removed from the members. */
   async run (scope: Scope): Promise<void> {
     const { clock } = this._core.options
     await this._finishFormation(scope)
@@ -75,7 +75,7 @@
     return this._core.role !== ReplicaRole.Leader && clock.nowMs() - this._core.quietSinceMs > LEADERLESS_TIMEOUT_MS
   }
 
-  /** The others know a leader that does not call: it has struck this replica while it was silent. */
+  /** If other members know a leader that does not call this replica, that leader has removed it while it did not answer. */
   private async _rejoinIfRemoved (scope: Scope): Promise<void> {
     const known = [...this._core.members, ...this._options.initialMembers]
     const others = known.filter(({ hostId }, position) => hostId !== this._ownAddresses.hostId && known.findIndex(other => other.hostId === hostId) === position)
@@ -84,13 +84,13 @@
     if (memberWithLeader) await this._requestJoin(memberWithLeader, scope)
   }
 
-  /** Only a committed entry counts: a leader may have taken the replica in and lost that again. */
+  /** Only committed membership counts: the entry with which a leader added the replica may have been lost again. */
   private _isMember (): boolean {
     const { clusterId, replicaId, commitIndex, state } = this._core
     return clusterId !== null && state.members.at(commitIndex).some(member => member.replicaId === replicaId)
   }
 
-  /** A crash came between the first entry and the identity: the entry counts. */
+  /** Completes a formation that a crash interrupted after the first entry was written, but before the cluster id was. */
   private async _finishFormation (scope: Scope): Promise<void> {
     const first = this._core.state.log.get(1)
     if (this._core.clusterId !== null || first?.kind !== EntryKind.Membership) return
--- a/src/replication/log/durableWriter.ts
+++ b/src/replication/log/durableWriter.ts
@@ -1,7 +1,7 @@
 /**
- * The one task that writes the log to disk. Records that come while a write
- * is under way go out together in the next one, with one sync for all of
- * them; whoever has to answer for a record waits for its ticket.
+ * The single task that writes the log to disk. Records that are enqueued during
+ * a write are written together in the next one, with one sync for all of them
+ * (group commit). Replies that rely on a record wait for its ticket.
  */
 import { sleepUntil, type Clock } from '../../utils/clock.js'
 import { DiskFullError } from '../../utils/errors.js'
@@ -15,9 +15,9 @@
 import type { Compaction, ReplicaStorage } from '../storage/replicaStorage.js'
 import { entryBytes } from './logEntry.js'
 
-/** One write takes no more than about this. */
+/** Approximate size limit of one write. */
 const MAX_BATCH_BYTES = 4 * 1024 * 1024
-/** Pause before a write that a full disk has refused is tried again. */
+/** Pause before a write is retried after the disk was full. */
 const DISK_FULL_RETRY_MS = 100
 
 type Job =
@@ -44,12 +44,12 @@
     this._logger = logger
   }
 
-  /** The ticket of everything that was enqueued so far. */
+  /** Ticket that covers everything enqueued so far. */
   get latestTicket (): number {
     return this._enqueuedCount
   }
 
-  /** Index of the last entry written; meaningful to a leader, which never cuts entries off. */
+  /** Index of the last entry written; only meaningful for a leader, which never truncates its log. */
   get lastEntryIndex (): number {
     return this._lastEntryIndex
   }
@@ -58,7 +58,7 @@
     return this._durableCount >= ticket
   }
 
-  /** Takes records to be written in this order; returns their ticket. */
+  /** Queues records to be written in this order; returns their ticket. */
   enqueue (records: LogRecord[]): number {
     return this._enqueue({ kind: 'records', records })
   }
@@ -74,7 +74,7 @@
 
   /**
    * Writes until the scope closes.
-   * @throws StorageError when the disk fails; the process has to stop.
+   * @throws StorageError when the disk fails; the process must stop then.
    */
   async run (scope: Scope): Promise<void> {
     for (;;) {
@@ -111,7 +111,7 @@
     if (lastEntry?.kind === 'entry') this._lastEntryIndex = lastEntry.entry.index
   }
 
-  /** Repeats a write that a full disk refuses. Meanwhile nothing is durable here, so nothing is answered that relies on it. */
+  /** Retries a write while the disk is full. Until it succeeds, its ticket is not durable, so no reply that relies on it is sent. */
   private async _retryWhileDiskFull (scope: Scope, write: () => Promise<void>): Promise<void> {
     let isLogged = false
     for (;;) {
--- a/src/replication/log/entryLog.ts
+++ b/src/replication/log/entryLog.ts
@@ -1,11 +1,11 @@
 /**
- * The log as it stands in memory: the entries after a base, which a snapshot
- * covers. What of it is on disk is the business of the durable writer.
+ * The in-memory log: the entries after a base index, up to which a snapshot
+ * covers the log. `DurableWriter` tracks which of them are on disk.
  */
 import { invariant } from '../../utils/errors.js'
 import { entryBytes, type LogEntry } from './logEntry.js'
 
-/** The last entry that is no longer held. */
+/** The last entry that has been compacted away. */
 export interface LogBase {
   index: number
   term: number
@@ -35,12 +35,12 @@
     return this._entries.at(-1)?.term ?? this._base.term
   }
 
-  /** Wall clock of the last entry. */
+  /** Leader's wall clock of the last entry. */
   get lastAtMs (): number {
     return this._entries.at(-1)?.atMs ?? this._base.atMs
   }
 
-  /** Bytes of all entries held. */
+  /** Total size of the entries held. */
   get bytes (): number {
     return this._bytes
   }
@@ -49,32 +49,32 @@
     return this._entries[index - this._base.index - 1]
   }
 
-  /** The term of an entry; undefined for what is not held any more, or not yet. */
+  /** Term of an entry; undefined if the entry was compacted away or does not exist yet. */
   termAt (index: number): number | undefined {
     if (index === this._base.index) return this._base.term
     return this.get(index)?.term
   }
 
   append (entry: LogEntry): void {
-    invariant(entry.index === this.lastIndex + 1, `entry ${entry.index} after ${this.lastIndex}`)
+    invariant(entry.index === this.lastIndex + 1, `log gap: entry ${entry.index} appended after entry ${this.lastIndex}`)
     this._entries.push(entry)
     this._bytes += entryBytes(entry)
   }
 
-  /** Drops an index and all behind it. */
+  /** Removes the entry at an index and all later ones. */
   truncateFrom (index: number): void {
-    invariant(index > this._base.index, `entry ${index} is covered by a snapshot`)
+    invariant(index > this._base.index, `cannot truncate from entry ${index}: a snapshot covers it`)
     const dropped = this._entries.splice(index - this._base.index - 1)
     this._bytes -= sumBytes(dropped)
   }
 
-  /** Entries from an index on, up to a size; at least one if there is one. */
+  /** Entries from an index on, up to a total size; at least one, if any exists. */
   slice (fromIndex: number, maxBytes: number): LogEntry[] {
     const chosen: LogEntry[] = []
     let bytes = 0
     for (let index = fromIndex; index <= this.lastIndex; index++) {
       const entry = this.get(index)
-      invariant(entry, `entry ${index} is not held`)
+      invariant(entry, `entry ${index} is not in the log: it was compacted away`)
       bytes += entryBytes(entry)
       if (chosen.length > 0 && bytes > maxBytes) break
       chosen.push(entry)
@@ -82,12 +82,12 @@
     return chosen
   }
 
-  /** All entries behind an index. */
+  /** All entries after an index. */
   after (index: number): LogEntry[] {
     return this._entries.slice(Math.max(0, index - this._base.index))
   }
 
-  /** Forgets the entries up to an index. */
+  /** Drops the entries up to and including an index. */
   compactTo (index: number): void {
     const last = this.get(index)
     if (!last) return
@@ -96,7 +96,7 @@
     this._base = { index, term: last.term, atMs: last.atMs }
   }
 
-  /** Starts anew behind a snapshot; entries that provably follow on it are kept. */
+  /** Makes a snapshot the base of the log. Entries after it are kept only if the log holds the snapshot's last entry with the same term. */
   rebase (base: LogBase): void {
     if (this.termAt(base.index) === base.term) return this.compactTo(base.index)
     this._base = base
@@ -104,7 +104,7 @@
     this._bytes = 0
   }
 
-  /** The first index of the term that the entry at an index has, as far as it is held. */
+  /** First index held of the term to which the entry at an index belongs. */
   firstIndexOfTerm (index: number): number {
     const term = this.termAt(index)
     let first = index
--- a/src/replication/log/followerProgress.ts
+++ b/src/replication/log/followerProgress.ts
@@ -1,36 +1,36 @@
 /**
- * What a leader knows of one other replica during its term.
+ * A leader's view of one other replica during its term.
  */
 import { Signal } from '../../utils/signal.js'
 import type { Member } from './members.js'
 
-/** When a request was sent, by this host's two clocks. */
+/** Send time of a request, on this host's two clocks. */
 export interface SentAt {
   sentAtMs: number
-  /** By the clock that counts suspensions: an answer that waited for the machine to be back proves nothing of now. */
+  /** On the clock that includes suspensions: an answer that was delayed by a suspension of the machine does not prove that the lease is still valid. */
   leaseMs: number
 }
 
 export class FollowerProgress {
   readonly member: Member
-  /** Notified when there may be something to send. */
+  /** Notified when there may be entries or a heartbeat to send. */
   readonly sendRequested = new Signal()
-  /** The next entry to send. */
+  /** Index of the next entry to send. */
   nextIndex: number
-  /** The follower has synced the log up to here. */
+  /** Index up to which the follower has synced the log. */
   matchIndex = 0
-  /** Highest number of a request that it has answered as a follower of this term. */
+  /** Highest round that it has answered as a follower in this term. */
   ackedRound = 0
-  /** When the latest answered request was sent, by this host's clock. */
+  /** When the latest answered request was sent, on this host's steady clock. */
   ackedSentAtMs: number
-  /** The same for the leader's lease, by the clock that counts suspensions; nothing before its first answer. */
+  /** The same on the clock that includes suspensions, for the leader's lease; -Infinity before the first answer. */
   ackedLeaseMs = Number.NEGATIVE_INFINITY
-  /** Since when it is called by this leader. */
+  /** When this leader started to call the replica. */
   readonly contactedSinceMs: number
-  /** Number of the heartbeat sent last. */
+  /** Round of the latest heartbeat sent. */
   lastHeartbeatRound = 0
 
-  /** @param startedAtMs when the leader's term of office began */
+  /** @param startedAtMs when the leadership started */
   constructor (member: Member, nextIndex: number, startedAtMs: number, nowMs: number) {
     this.member = member
     this.nextIndex = nextIndex
--- a/src/replication/log/following.ts
+++ b/src/replication/log/following.ts
@@ -1,6 +1,6 @@
 /**
- * The follower's side of replication: entries, heartbeats and snapshots of
- * the leader.
+ * The follower's side of replication: handles entries, heartbeats and snapshots
+ * from the leader.
  */
 import { sleepUntil } from '../../utils/clock.js'
 import type { Scope } from '../../utils/scope.js'
@@ -13,7 +13,7 @@
 import type { Snapshot } from '../storage/snapshotFile.js'
 import { SnapshotReceiver } from './snapshotReceiver.js'
 
-/** A piece that a full disk has refused is asked for again after this; well under the time that the leader waits for an answer (1 s). */
+/** Pause before a snapshot chunk that did not fit on a full disk is requested again; well below the leader's call timeout of 1 s. */
 const DISK_FULL_PAUSE_MS = 300
 
 export class Following {
@@ -38,7 +38,7 @@
     if (merged.kind === 'mismatch') return merged
     core.commitTo(Math.min(request.commitIndex, merged.matchIndex))
     await core.settled(this._scope)
-    // A later leader may have cut the entries off again meanwhile.
+    // A later leader may have truncated the entries in the meantime.
     if (core.term !== request.term) return { kind: 'staleTerm', term: core.term }
     return { kind: 'matched', matchIndex: merged.matchIndex }
   }
@@ -59,7 +59,7 @@
     if (!(await core.accepts(request))) return { kind: 'wrongReplica' }
     if (request.term < core.term) return { kind: 'staleTerm', term: core.term }
     core.follow(request.term, request.fromReplicaId)
-    // What is committed here already agrees with the leader's log.
+    // Entries committed here already match the leader's log.
     if (request.lastIndex <= core.commitIndex) return await this._installedAt(core.commitIndex, request.term)
     core.snapshotStats.noteArriving(request.lastIndex)
     const received = await this._scope.race(this._receiver.receive(request))
@@ -73,7 +73,7 @@
     }
   }
 
-  /** The leader sends the piece again; the pause keeps it from doing so in a loop. */
+  /** Makes the leader send the chunk again; the pause prevents a busy loop. */
   private async _onDiskFull (offsetBytes: number, reason: string): Promise<SnapshotReply> {
     const { clock, logger } = this._core.options
     logger.event(ReplicationEvent.DiskFull, { error: reason })
@@ -81,7 +81,7 @@
     return { kind: 'expecting', offsetBytes }
   }
 
-  /** The disk took its time: terms may have changed, and entries may have come, since the last piece was sent. */
+  /** Installs a received snapshot. Writing it may have been slow, so the term may have changed and entries may have arrived since the last chunk was sent. */
   private async _onSnapshotComplete (snapshot: Snapshot, term: number): Promise<SnapshotReply> {
     const core = this._core
     if (core.term !== term || snapshot.lastIndex <= core.commitIndex) {
--- a/src/replication/log/handover.ts
+++ b/src/replication/log/handover.ts
@@ -1,9 +1,9 @@
 /**
- * The planned end of a leadership: the leader takes no more proposals, waits
- * until the voter that is closest behind holds its whole log, gives its lease
- * up and tells that voter to stand for election at once (the leadership
- * transfer of Raft, Ongaro's thesis, 3.10). Without it the others would only
- * notice after an election timeout.
+ * Leadership transfer (Ongaro's Raft thesis, 3.10) for a planned stop. The
+ * leader accepts no more proposals, waits until a live voter has caught up with
+ * its whole log, gives up its lease and asks that voter to start an election at
+ * once. Otherwise, the other replicas would notice the missing leader only
+ * after an election timeout.
  */
 import type { Progress } from '../../utils/progress.js'
 import { ReplicationEvent } from '../replicationEvents.js'
@@ -24,27 +24,27 @@
     this._leadership = leadership
   }
 
-  /** Returns once another replica leads, no other can, or the deadline has passed. */
+  /** Returns when another replica leads, when no other replica can, or when the deadline has passed. */
   async run (progress: Progress): Promise<void> {
     const { logger } = this._core.options
     this._leadership.isHandingOver = true
     const successor = await this._waitForCaughtUpVoter(progress)
     if (!successor) {
-      // Nobody else can lead: going on is better than nobody leading.
+      // No other replica can take over, so this one continues to lead rather than leave the cluster without a leader.
       this._leadership.isHandingOver = false
-      logger.event(ReplicationEvent.HandoverFailed, { term: this._leadership.term, reason: 'no other voter holds the whole log' })
+      logger.event(ReplicationEvent.HandoverFailed, { term: this._leadership.term, reason: 'no other live voter caught up with the whole log' })
       return
     }
     const { term } = this._leadership
     const request = { clusterId: this._core.clusterId ?? '', fromReplicaId: this._core.replicaId, toReplicaId: successor.replicaId, term }
-    // The lease has to end before anybody may vote for the successor.
-    this._core.stepDown(`handed over to ${successor.hostId}`)
+    // The lease must be given up before any replica may vote for the successor.
+    this._core.stepDown(`handed leadership over to ${successor.hostId}`)
     logger.event(ReplicationEvent.HandedOver, { term, hostId: successor.hostId })
     const outcome = await this._links.to(successor).call(campaignMethod, request, progress)
     if (outcome.kind === 'replied' && outcome.body.kind === 'campaigning') await this._waitForNewLeader(progress)
   }
 
-  /** The live voter that has matched everything, once there is one. */
+  /** Waits for a live voter that has synced the whole log; undefined if there is no other live voter, the leadership ends or the deadline passes. */
   private async _waitForCaughtUpVoter (progress: Progress): Promise<Member | undefined> {
     while (!progress.isOver() && !this._leadership.scope.isClosed) {
       const { lastIndex } = this._core.state.log
--- a/src/replication/log/joinRefusals.ts
+++ b/src/replication/log/joinRefusals.ts
@@ -1,7 +1,7 @@
 /**
- * Tells the leader's log why a replica that asks to join isn't taken in. It
- * asks several times a second, so each reason is told once, and again from
- * time to time while the replica asks on.
+ * Logs, at the leader, why a replica that requests to join is refused. A
+ * replica repeats its request several times per second, so each reason is
+ * logged once and then at intervals while the requests continue.
  */
 import { LRUCache } from 'lru-cache'
 import type { Clock } from '../../utils/clock.js'
@@ -10,11 +10,11 @@
 import type { Member } from './members.js'
 import type { MembershipOutcome } from './membershipChanges.js'
 
-/** Rare enough for a log, often enough to show that it goes on. */
+/** Interval at which a lasting refusal is logged again. */
 const REPEAT_INTERVAL_MS = 10_000
-/** Several newcomers at once wait for each other; a change of members takes some round trips and syncs, far less than this. */
+/** Delay before a "busy" answer is logged: concurrent newcomers wait for each other, and a change of members takes only a few round trips and syncs. */
 const BUSY_LOG_DELAY_MS = 2_000
-/** Replicas that asked last; several times the members that there can be. */
+/** Most recent requesters that are tracked; several times the maximum number of members. */
 const MAX_TRACKED_REPLICAS_COUNT = 64
 
 interface Refusal {
--- a/src/replication/log/leadership.ts
+++ b/src/replication/log/leadership.ts
@@ -1,7 +1,7 @@
 /**
- * A leader's term of office: it appends proposals, counts what a quorum has
- * synced, and confirms for readers that it still leads. It ends when a later
- * term begins or when a quorum has not answered for an election timeout.
+ * A leader's term: appends proposals, commits what a quorum has synced, and
+ * confirms for reads that this replica still leads. It ends when a later term
+ * starts or when a quorum has not answered for an election timeout.
  */
 import { sleepUntil } from '../../utils/clock.js'
 import { ScopeClosedError } from '../../utils/errors.js'
@@ -27,10 +27,10 @@
 export class Leadership implements ReplicationListener {
   readonly term: number
   readonly scope: Scope
-  /** Notified whenever a follower has answered. */
+  /** Notified whenever a follower answers. */
   readonly acknowledged = new Signal()
   requestedRound = 0
-  /** It ends as planned: no further entry is taken, so that a follower can hold all of them. */
+  /** The leadership is being handed over: no further proposals are accepted, so that a follower can catch up completely. */
   isHandingOver = false
   private readonly _core: ReplicaCore
   private readonly _links: PeerLinks
@@ -40,7 +40,7 @@
   private _round = 0
   private _isCommitNoticeScheduled = false
   private _firstIndex = 0
-  /** Ticket of this term's first entry: before it, what the writer says belongs to earlier leaders. */
+  /** Ticket of this term's first entry; until it is durable, the writer's progress concerns entries of earlier leaders. */
   private _firstTicket = 0
 
   constructor (core: ReplicaCore, links: PeerLinks, supervisor: Supervisor) {
@@ -52,7 +52,7 @@
     this._startedAtMs = core.options.clock.nowMs()
   }
 
-  /** Leads until the leadership ends. */
+  /** Runs until the leadership ends. */
   async run (): Promise<void> {
     this._firstTicket = this._append(EntryKind.Empty, NO_PAYLOAD)
     this._firstIndex = this._core.state.log.lastIndex
@@ -65,18 +65,18 @@
     }
   }
 
-  /** Puts a command into the log; its index. */
+  /** Appends a command to the log; returns its index. */
   propose (payload: Uint8Array): number {
     this._append(EntryKind.Command, payload)
     return this._core.state.log.lastIndex
   }
 
-  /** True when neither an earlier change of members nor this term's first entry is open. */
+  /** True when both the latest change of members and this term's first entry are committed, and no handover is in progress. */
   mayChangeMembers (): boolean {
     return !this.isHandingOver && this._core.commitIndex >= this._firstIndex && this._core.commitIndex >= this._core.state.members.latestIndex
   }
 
-  /** Puts new members into the log; they count at once. */
+  /** Appends new members to the log; they take effect at once. Returns the index of the entry. */
   changeMembers (members: Member[]): number {
     this._append(EntryKind.Membership, encodeMembership({ clusterId: this._core.clusterId ?? '', members }))
     this._updateFollowers()
@@ -87,7 +87,7 @@
     return this._followers.get(replicaId)?.progress
   }
 
-  /** Whether a replica has answered within an election timeout. */
+  /** Whether a replica has answered within the last election timeout. */
   isLive (replicaId: string): boolean {
     if (replicaId === this._core.replicaId) return true
     const { clock, timings } = this._core.options
@@ -95,13 +95,13 @@
     return progress !== undefined && progress.ackedRound > 0 && progress.ackedSentAtMs >= clock.nowMs() - timings.electionMaxMs
   }
 
-  /** When a replica last answered; the start of the leadership for one that has not. */
+  /** When the latest request that a replica answered was sent; the start of the leadership if it has answered none. */
   lastSeenAtMs (replicaId: string): number {
     if (replicaId === this._core.replicaId) return Number.POSITIVE_INFINITY
     return this.progressOf(replicaId)?.ackedSentAtMs ?? this._startedAtMs
   }
 
-  /** Until when no other leader can have been elected, by this host's clock that counts suspensions. */
+  /** Time until which no other leader can have been elected, on this host's clock that includes suspensions. */
   get leaseEndsAtMs (): number {
     return this._quorumValue(progress => progress.ackedLeaseMs) + this._core.options.timings.leaderLeaseMs
   }
@@ -111,9 +111,9 @@
   }
 
   /**
-   * Index that a read has to wait for to be linearizable, once a quorum has
-   * confirmed that this host led after the call began; undefined when the
-   * confirmation did not come.
+   * Returns the index that must be applied for a read to be linearizable, once
+   * a quorum has confirmed that this host led after the call started; undefined
+   * if the confirmation does not arrive in time.
    */
   async readIndex (progress: Progress): Promise<number | undefined> {
     while (this._core.commitIndex < this._firstIndex) {
@@ -129,7 +129,7 @@
     return this.scope.isClosed ? undefined : index
   }
 
-  /** Index of a read under the leader's lease; undefined without one. */
+  /** Index that a read under the leader's lease has to wait for; undefined without a valid lease. */
   leaseReadIndex (): number | undefined {
     const isCurrent = this._core.commitIndex >= this._firstIndex
     return isCurrent && this.holdsLease() ? this._core.commitIndex : undefined
@@ -155,7 +155,7 @@
     return ticket
   }
 
-  /** Starts and ends the tasks of followers as the members change. */
+  /** Starts and stops replication tasks to match the current members. */
   private _updateFollowers (): void {
     const others = this._core.members.filter(member => member.replicaId !== this._core.replicaId)
     for (const [replicaId, tasks] of this._followers) {
@@ -191,14 +191,14 @@
     const index = quorumValue(this._core.members, replicaId => (
       replicaId === this._core.replicaId ? ownIndex : this.progressOf(replicaId)?.matchIndex ?? 0
     ))
-    // Only entries of the own term are committed by counting; earlier ones go with them.
+    // Only entries of the current term are committed by counting replicas; earlier entries are committed along with them.
     if (index <= this._core.commitIndex || log.termAt(index) !== this.term) return
     this._core.commitTo(index)
     this._scheduleCommitNotice()
     this._stepDownIfRemoved()
   }
 
-  /** Followers that get no further entries learn of the commit soon, for they answer reads. */
+  /** Schedules a heartbeat that notifies followers of the commit: they answer reads, and may receive no further entries. */
   private _scheduleCommitNotice (): void {
     if (this._isCommitNoticeScheduled) return
     this._isCommitNoticeScheduled = true
@@ -221,11 +221,11 @@
       await sleepUntil(clock, this.scope, clock.nowMs() + timings.heartbeatMs)
       const confirmedAtMs = this._quorumValue(progress => progress.ackedSentAtMs)
       if (clock.nowMs() - confirmedAtMs <= timings.electionMaxMs * this._core.electionTimeoutFactor) continue
-      return this._core.stepDown('a quorum does not answer')
+      return this._core.stepDown('a quorum did not answer within the election timeout')
     }
   }
 
-  /** A value that a quorum has reached; the leader itself has reached any. */
+  /** The highest value that a quorum has reached; the leader itself counts as having reached any value. */
   private _quorumValue (valueOf: (progress: FollowerProgress) => number): number {
     return quorumValue(this._core.members, replicaId => {
       if (replicaId === this._core.replicaId) return Number.POSITIVE_INFINITY
--- a/src/replication/log/logApplier.ts
+++ b/src/replication/log/logApplier.ts
@@ -1,6 +1,6 @@
 /**
- * Applies committed entries to the replicated state, in order, and takes a
- * snapshot of it when the log has grown enough.
+ * Applies committed entries to the replicated state in order, and takes a
+ * snapshot of it once the log has grown enough.
  */
 import { Decoder } from 'cbor-x'
 import { setImmediate as nextTurn } from 'node:timers/promises'
@@ -15,16 +15,16 @@
 import type { Proposals } from './proposals.js'
 import type { ReplicaCore } from './replicaCore.js'
 
-/** Entries applied before other tasks get their turn. */
+/** Entries applied before the task yields to the event loop. */
 const MAX_ENTRIES_PER_TURN = 256
-/** Pause before a snapshot that a full disk has refused is taken anew. */
+/** Pause before a snapshot is taken again after the disk was full. */
 const DISK_FULL_RETRY_MS = 1_000
 
 export interface SnapshotPolicy {
-  /** A snapshot is taken after so many entries, or so many bytes of them. */
+  /** A snapshot is taken after this many entries, or after `everyBytes` bytes of entries. */
   everyEntriesCount: number
   everyBytes: number
-  /** Entries kept behind the snapshot for followers that lag a little. */
+  /** Entries before the snapshot that stay in memory for followers that lag slightly. */
   keptEntriesCount: number
 }
 
@@ -34,24 +34,24 @@
   keptEntriesCount: 1024
 }
 
-/** Called for every entry applied; for tests that compare replicas. */
+/** Called for every applied entry; for tests that compare replicas. */
 export type ApplyObserver = (entry: LogEntry, result: unknown) => void
 
 export class LogApplier {
-  /** Notified after every turn of applying, and after a restored snapshot. */
+  /** Notified after every batch of applied entries, and after a snapshot is restored. */
   readonly applied = new Signal()
   private readonly _core: ReplicaCore
   private readonly _state: ReplicatedState<unknown, unknown>
   private readonly _proposals: Proposals
   private readonly _policy: SnapshotPolicy
   private readonly _observer: ApplyObserver | undefined
-  /** Byte arrays of a command are views into the entry's payload, which the log holds as well. */
+  /** Byte arrays in a decoded command are views into the entry's payload, which the log also holds. */
   private readonly _decoder = new Decoder({ useRecords: false })
   private _appliedIndex: number
-  /** Since the state that the latest snapshot shows. */
+  /** Entries applied since the latest snapshot. */
   private _entriesSinceSnapshotCount = 0
   private _bytesSinceSnapshot = 0
-  /** Counts the states that were replaced as a whole: a snapshot of an earlier one is worth nothing. */
+  /** Number of restores; a snapshot that was started before a restore is obsolete. */
   private _restoresCount = 0
   private readonly _snapshotDue = new Signal()
 
@@ -68,7 +68,7 @@
     return this._appliedIndex
   }
 
-  /** Waits until the state holds an entry. */
+  /** Waits until an entry is applied to the state. */
   async whenApplied (index: number, scope: Scope): Promise<void> {
     while (this._appliedIndex < index) await this.applied.wait(scope)
   }
@@ -84,9 +84,9 @@
   }
 
   /**
-   * Takes snapshots as they become due, one after the other, while entries go
-   * on being applied: a leader that wrote one in a single turn was held up for
-   * longer than its followers wait for a heartbeat.
+   * Takes snapshots as they become due, one at a time, while entries continue
+   * to be applied: a leader that wrote a snapshot in a single event-loop turn
+   * was blocked for longer than its followers wait for a heartbeat.
    */
   async runSnapshots (scope: Scope): Promise<void> {
     for (;;) {
@@ -95,12 +95,12 @@
     }
   }
 
-  /** A piece of a leader's snapshot, with what the state holds already. */
+  /** Returns a piece of a leader's snapshot in which parts that the state already holds are shared with it. */
   reuse (piece: unknown): unknown {
     return this._state.reuse(piece)
   }
 
-  /** Replaces the state by a leader's snapshot. */
+  /** Replaces the state with a leader's snapshot. */
   restore (snapshot: Snapshot): void {
     this._state.restore(snapshot.pieces)
     this._appliedIndex = snapshot.lastIndex
@@ -115,7 +115,7 @@
     const lastIndex = Math.min(this._core.commitIndex, this._appliedIndex + MAX_ENTRIES_PER_TURN)
     while (this._appliedIndex < lastIndex) {
       const entry = this._core.state.log.get(this._appliedIndex + 1)
-      invariant(entry, `committed entry ${this._appliedIndex + 1} is not held`)
+      invariant(entry, `committed entry ${this._appliedIndex + 1} is not in the log`)
       this._apply(entry)
     }
   }
@@ -143,7 +143,7 @@
     this._bytesSinceSnapshot = 0
     const written = await this._write(header, pieces, scope)
     if (!written) return await this._retryLater(restoresCount, scope)
-    // A leader's snapshot, which is later, has come meanwhile.
+    // A later snapshot from the leader was installed in the meantime.
     if (restoresCount !== this._restoresCount) return await scope.race(storage.discardSnapshot(written))
     state.compact(written, this._policy.keptEntriesCount)
     logger.event(ReplicationEvent.SnapshotTaken, { lastIndex: written.lastIndex, bytesCount: written.lengthBytes, tookMs: snapshots.recordTaken(written.lengthBytes, startedAtMs) })
@@ -153,11 +153,11 @@
     const { log, members } = this._core.state
     const lastIndex = this._appliedIndex
     const last = log.get(lastIndex)
-    invariant(last, 'the last applied entry is not held')
+    invariant(last, `the last applied entry ${lastIndex} is not in the log`)
     return { lastIndex, lastTerm: last.term, lastAtMs: last.atMs, members: members.at(lastIndex) }
   }
 
-  /** Undefined when the disk is full, or another snapshot of the entry is on its way: the log stays as it is, and the next try shows a later state. */
+  /** Returns undefined if the disk is full or another snapshot at the same entry is already pending. The log is then not compacted, and the next attempt captures a later state. */
   private async _write (header: SnapshotHeader, pieces: SnapshotPieces, scope: Scope): Promise<WrittenSnapshot | undefined> {
     const { logger, storage } = this._core.options
     try {
--- a/src/replication/log/logEntry.ts
+++ b/src/replication/log/logEntry.ts
@@ -1,6 +1,6 @@
 /**
- * Entries of the replicated log. The payload stays encoded from the leader to
- * every disk, and is decoded only to be applied.
+ * Entries of the replicated log. The leader encodes the payload once; it is
+ * sent and stored in that form and decoded only to be applied.
  */
 export enum EntryKind {
   /** The first entry of a leader's term. */
@@ -13,19 +13,19 @@
   index: number
   term: number
   kind: EntryKind
-  /** The leader's wall clock when it took the entry; never goes back along the log. */
+  /** The leader's wall clock when it appended the entry, in milliseconds since the Unix epoch; never decreases along the log. */
   atMs: number
   payload: Uint8Array
 }
 
-/** What a replica must remember of elections. */
+/** The election state that a replica must persist. */
 export interface HardState {
   term: number
-  /** Replica that got this one's vote in the term. */
+  /** Replica that this one voted for in the term; null if it has not voted. */
   votedFor: string | null
 }
 
-/** Bytes that an entry counts for in limits, on the wire and on disk. */
+/** Size that an entry is counted with in limits of messages and writes. */
 export function entryBytes (entry: LogEntry): number {
   return entry.payload.length + ENTRY_OVERHEAD_BYTES
 }
--- a/src/replication/log/memberReport.ts
+++ b/src/replication/log/memberReport.ts
@@ -1,7 +1,7 @@
 /**
- * Tells the log of this host of every change of members that its replica
- * learns of, by whichever way: so the logs of all hosts together show who
- * counted whom at any time.
+ * Logs every change of members that this host's replica learns of, from log
+ * entries, truncation or snapshots. Together, the logs of all hosts show which
+ * members each replica assumed at any time.
  */
 import { ReplicationEvent } from '../replicationEvents.js'
 import { MemberRole, quorumCount, votersOf } from './members.js'
--- a/src/replication/log/members.ts
+++ b/src/replication/log/members.ts
@@ -1,12 +1,12 @@
 /**
- * Members of the replicated log. A replica is known by the random id on its
- * disk, so a host whose disk was wiped comes back as another replica.
+ * Members of the replicated log. A replica is identified by a random id on its
+ * disk, so a host whose disk was wiped comes back as a different replica.
  */
 import { z } from 'zod'
 
 export enum MemberRole {
   Voter = 'voter',
-  /** Gets the log but does not vote until it has caught up. */
+  /** Receives the log but does not vote until it has caught up. */
   Learner = 'learner'
 }
 
@@ -15,7 +15,7 @@
   hostId: z.string(),
   peerAddress: z.string(),
   operatorAddress: z.string(),
-  /** Where the host stands, for members that are spread over data centres. */
+  /** Data centre of the host, if members are spread over data centres. */
   dataCentre: z.string().optional(),
   role: z.enum(MemberRole)
 })
@@ -29,7 +29,7 @@
   return members.some(member => member.replicaId === replicaId && member.role === MemberRole.Voter)
 }
 
-/** How many of so many voters make a majority. */
+/** Number of voters that form a majority. */
 export function quorumCount (votersCount: number): number {
   return Math.floor(votersCount / 2) + 1
 }
--- a/src/replication/log/membershipChanges.ts
+++ b/src/replication/log/membershipChanges.ts
@@ -1,11 +1,11 @@
 /**
- * The leader's changes of members, one at a time: newcomers are learners
- * first and vote once they have caught up; a replica whose host came back
- * with another disk is removed before its successor votes. Nobody is refused
- * for the size of the group: a host has one voter and one learner at most, so
- * the members are no more than twice the hosts. A log with places of its own has
- * as many members as the losses need, and the other hosts wait until one is
- * free.
+ * The leader's changes of members, one at a time. Newcomers start as learners
+ * and become voters once they have caught up. A replica whose host came back
+ * with another disk is removed before its successor becomes a voter. Without a
+ * placement, no newcomer is refused because of the size of the group: a host
+ * has at most one voter and one learner, so there are at most twice as many
+ * members as hosts. With a placement, there are as many members as the
+ * tolerated losses require, and the other hosts wait until one is needed.
  */
 import { sleepUntil } from '../../utils/clock.js'
 import type { Scope } from '../../utils/scope.js'
@@ -17,26 +17,26 @@
 
 export type MembershipOutcome =
   | { kind: 'accepted' }
-  /** Another change is still open; try again. */
+  /** Another change is still in progress; try again. */
   | { kind: 'busy' }
-  /** There are replicas enough without the host; it may ask again later. */
+  /** There are enough replicas without the host; it may request again later. */
   | { kind: 'notNeeded' }
   | { kind: 'refused', reason: string }
 
-/** A learner that is no more than so many entries behind may vote. */
+/** Maximum lag of a learner that may become a voter. */
 const CAUGHT_UP_ENTRIES_COUNT = 64
 const REVIEW_INTERVAL_MS = 100
-/** A killed process is back within a second and answers its leader in the next; a voter silent for longer may give its place to a newcomer. */
+/** A killed process restarts within a second and answers its leader within the next; a voter that has not answered for longer may be replaced by a newcomer. */
 const REPLACE_SILENT_AFTER_MS = 2_000
-/** Losses that a group bears when it is not told how many it has to. */
+/** Losses that a group tolerates if the policy does not set a number. */
 const DEFAULT_TOLERATED_LOSSES = 1
 
 export interface MembershipPolicy {
-  /** A voter that was silent for so long is struck, as long as enough others are left; never when absent. */
+  /** A voter that has not answered for this long is removed, as long as enough others remain; never if absent. */
   strikeSilentAfterMs?: number | undefined
-  /** Disks that may be lost at once; one when absent. */
+  /** Number of disks that may be lost at the same time; defaults to one. */
   toleratedLosses?: number | undefined
-  /** How many of the hosts are members; all of them when absent. */
+  /** How many hosts are members; all of them if absent. */
   placement?: ReplicaPlacement | undefined
 }
 
@@ -44,11 +44,11 @@
   private readonly _core: ReplicaCore
   private readonly _leadership: Leadership
   private readonly _policy: MembershipPolicy
-  /** The voter whose place a newcomer has taken. */
+  /** The voter that a newcomer has just replaced. */
   private _displacedVoter: Member | undefined
-  /** Hosts whose earlier replica has just made room for the present one. */
+  /** Hosts whose previous replica has just been removed in favour of the current one. */
   private readonly _vacatedHostIds = new Set<string>()
-  /** Hosts that are being taken out of the members. */
+  /** Hosts that are being removed from the members. */
   private readonly _leavingHostIds = new Set<string>()
 
   constructor (core: ReplicaCore, leadership: Leadership, policy: MembershipPolicy) {
@@ -57,7 +57,7 @@
     this._policy = policy
   }
 
-  /** Takes a replica in as a learner. */
+  /** Adds a replica as a learner. */
   join (newcomer: Omit<Member, 'role'>): MembershipOutcome {
     const members = this._core.members
     if (members.some(member => member.replicaId === newcomer.replicaId)) return { kind: 'accepted' }
@@ -67,7 +67,7 @@
     }
     if (!this._shouldAdmit(newcomer, predecessors)) return { kind: 'notNeeded' }
     if (!this._leadership.mayChangeMembers()) return { kind: 'busy' }
-    // An earlier learner of the same host never voted and can go in the same step.
+    // An earlier learner of the same host never voted and can be removed in the same change.
     const kept = members.filter(member => member.hostId !== newcomer.hostId || member.role === MemberRole.Voter)
     this._leadership.changeMembers([...kept, { ...newcomer, role: MemberRole.Learner }])
     this._core.options.logger.event(ReplicationEvent.MemberAdded, { hostId: newcomer.hostId, replicaId: newcomer.replicaId })
@@ -83,16 +83,16 @@
     const remaining = this._core.members.filter(member => member.hostId !== hostId)
     if (votersOf(leaving).length > 0 && this._isBelowMinVoters(votersOf(remaining).length)) {
       if (this._promoteSpare()) return { kind: 'busy' }
-      return { kind: 'refused', reason: `fewer than ${this._minVotersCount} voters would be left` }
+      return { kind: 'refused', reason: `fewer than ${this._minVotersCount} voters would remain` }
     }
     if (votersOf(leaving).length > 1) return this._removeOne(leaving)
-    if (!this._hasLiveQuorum(remaining)) return { kind: 'refused', reason: 'too few of the remaining members answer' }
+    if (!this._hasLiveQuorum(remaining)) return { kind: 'refused', reason: 'no quorum of the remaining voters answers' }
     this._change(remaining, ReplicationEvent.MemberRemoved, hostId)
     this._leavingHostIds.delete(hostId)
     return { kind: 'accepted' }
   }
 
-  /** Replaces and promotes as learners catch up, while the leadership lasts. */
+  /** Replaces, promotes and removes members as needed, until the scope closes. */
   async review (scope: Scope): Promise<void> {
     const { clock } = this._core.options
     for (;;) {
@@ -120,7 +120,7 @@
     ))
   }
 
-  /** Without places of its own, everybody who has caught up votes. */
+  /** Without a placement, every learner that has caught up becomes a voter. */
   private _needsVoter (): boolean {
     const { placement } = this._policy
     const voters = votersOf(this._core.members)
@@ -131,7 +131,7 @@
     return members.filter(({ hostId }) => !this._leavingHostIds.has(hostId))
   }
 
-  /** The replica of a host that lost its disk takes the place of its predecessor. A member that is away holds no place. */
+  /** Whether a newcomer may join. A replica on a host that lost its disk always may, as it replaces its predecessor. Members that do not answer are not counted. */
   private _shouldAdmit (newcomer: Omit<Member, 'role'>, predecessors: Member[]): boolean {
     const { placement } = this._policy
     if (!placement || predecessors.length > 0) return true
@@ -139,13 +139,13 @@
     return hasPlace(placement, present, newcomer)
   }
 
-  /** A spare votes before a voter is taken out that would be missed. */
+  /** Promotes a spare before a voter is removed that is needed for the minimum number of voters. */
   private _promoteSpare (): boolean {
     const successor = this._policy.placement && bestCandidate(this._readyLearners(), votersOf(this._core.members))
     return successor !== undefined && this._promote(successor)
   }
 
-  /** One that came back after its place was taken, or a spare too many, steps back; only while all are there. */
+  /** Demotes a surplus voter, such as one that came back after it was replaced, or removes a surplus spare; only while all members are live. */
   private _removeExcess (): boolean {
     const { placement } = this._policy
     const staying = this._withoutLeaving(this._core.members)
@@ -166,16 +166,17 @@
     return votersOf(this._core.members).find(member => member.hostId === learner.hostId)
   }
 
-  /** At once, and before another predecessor goes: until then there is a voter less. */
+  /** Promotes the successor of a removed replica at once, before another predecessor is removed: until then there is one voter less. */
   private _promoteSuccessor (successor: Member): void {
     this._vacatedHostIds.delete(successor.hostId)
     this._promote(successor)
   }
 
   /**
-   * A newcomer takes the place of a voter that is gone, most likely for good:
-   * beside it, the dead vote would raise the quorum for those that are left.
-   * It votes first, for the other may be back with its disk at any moment.
+   * Promotes a newcomer, and has it replace a voter that does not answer and is
+   * most likely lost: if both stayed, the dead voter would raise the quorum for
+   * the remaining ones. The newcomer is promoted before the other is removed,
+   * because that voter may come back with its disk at any time.
    */
   private _promoteNewcomer (newcomer: Member): void {
     if (!this._isContactedLongEnough(newcomer)) return
@@ -189,7 +190,7 @@
     if (this._promote(newcomer)) this._displacedVoter = silent
   }
 
-  /** The voter whose place a newcomer has taken, unless it is back or its vote is needed. */
+  /** Returns the voter that a newcomer has replaced and clears the record; undefined if the voter is back or still needed. */
   private _takeDisplacedVoter (): Member | undefined {
     const replaced = votersOf(this._core.members).find(member => member.replicaId === this._displacedVoter?.replicaId)
     this._displacedVoter = undefined
@@ -197,14 +198,14 @@
     return isNeeded ? undefined : replaced
   }
 
-  /** By then a voter that went just before the newcomer came no longer passes for live. */
+  /** Whether the newcomer has been contacted for longer than an election timeout. A voter that failed just before it came is no longer considered live by then. */
   private _isContactedLongEnough (newcomer: Member): boolean {
     const { clock, timings } = this._core.options
     const sinceMs = this._leadership.progressOf(newcomer.replicaId)?.contactedSinceMs ?? Number.POSITIVE_INFINITY
     return clock.nowMs() - sinceMs > timings.electionMaxMs
   }
 
-  /** A host that is gone for good is never announced; its dead vote would only raise the quorum. */
+  /** Removes the member that has not answered for the longest time. Permanent losses of hosts are not announced, and a dead voter only raises the quorum. */
   private _removeLongestSilent (): void {
     const { strikeSilentAfterMs, placement } = this._policy
     const silent = this._longestSilent(this._core.members)
@@ -229,12 +230,12 @@
     return this._core.options.clock.nowMs() - this._leadership.lastSeenAtMs(member.replicaId)
   }
 
-  /** A group that was not told what it has to bear is made as small as its operator wishes. */
+  /** Whether removing a voter would leave too few. If the tolerated losses are not set, the operator may shrink the group to any size. */
   private _isBelowMinVoters (votersCount: number): boolean {
     return this._policy.toleratedLosses !== undefined && votersCount < this._minVotersCount
   }
 
-  /** A majority of so many holds an entry on one disk more than may be lost. */
+  /** With 2f + 1 voters, a majority holds an entry on one more disk than the f that may be lost. */
   private get _minVotersCount (): number {
     return 2 * (this._policy.toleratedLosses ?? DEFAULT_TOLERATED_LOSSES) + 1
   }
@@ -258,7 +259,7 @@
   private _removeOne (leaving: Member[]): MembershipOutcome {
     const [first] = votersOf(leaving)
     const remaining = this._core.members.filter(member => member !== first)
-    if (!this._hasLiveQuorum(remaining)) return { kind: 'refused', reason: 'too few of the remaining members answer' }
+    if (!this._hasLiveQuorum(remaining)) return { kind: 'refused', reason: 'no quorum of the remaining voters answers' }
     this._change(remaining, ReplicationEvent.MemberRemoved, first?.hostId ?? '')
     return { kind: 'busy' }
   }
--- a/src/replication/log/membershipHistory.ts
+++ b/src/replication/log/membershipHistory.ts
@@ -1,7 +1,7 @@
 /**
- * The members as the log changes them. A change counts from the moment its
- * entry is in the log, committed or not, and is undone when the entry is cut
- * off.
+ * The members at each point of the log. A change takes effect as soon as its
+ * entry is in the log, committed or not, and is undone when the entry is
+ * truncated.
  */
 import { Decoder, Encoder } from 'cbor-x'
 import { z } from 'zod'
@@ -25,7 +25,7 @@
 
 export function decodeMembership (payload: Uint8Array): Membership {
   const parsed = membershipSchema.safeParse(decoder.decode(payload))
-  invariant(parsed.success, 'a membership entry is malformed')
+  invariant(parsed.success, 'malformed membership entry')
   return parsed.data
 }
 
@@ -38,7 +38,7 @@
   private _changes: Change[]
   private _onChanged: () => void = () => {}
 
-  /** @param members as the snapshot at the index has them */
+  /** @param members members in the snapshot at the index */
   constructor (index: number, members: Member[]) {
     this._changes = [{ index, members }]
   }
@@ -52,12 +52,12 @@
     return this._changes.at(-1)?.index ?? 0
   }
 
-  /** The members as of an entry that is not compacted away. */
+  /** The members as of an entry; the entry must not be compacted away. */
   at (index: number): Member[] {
     return this._changes.findLast(change => change.index <= index)?.members ?? []
   }
 
-  /** @param onChanged called whenever the latest members have become others */
+  /** @param onChanged called whenever the latest members change */
   watch (onChanged: () => void): void {
     this._onChanged = onChanged
   }
--- a/src/replication/log/peerLinks.ts
+++ b/src/replication/log/peerLinks.ts
@@ -1,5 +1,5 @@
 /**
- * The links to the other replicas, one for each address.
+ * RPC links to the other replicas, one per address.
  */
 import type { Transport } from '../../transport/connection.js'
 import { PeerLink } from '../../transport/peerLink.js'
@@ -11,7 +11,7 @@
   private readonly _transport: Transport
   private readonly _scope: Scope
   private readonly _links = new Map<string, PeerLink>()
-  /** Replicas call each other; nothing is served on an outgoing connection. */
+  /** Empty: each replica calls over its own connections, so nothing is served on an outgoing one. */
   private readonly _noHandlers = new RpcHandlers()
 
   constructor (transport: Transport, scope: Scope, onFatal: (error: unknown) => void) {
--- a/src/replication/log/persistentState.ts
+++ b/src/replication/log/persistentState.ts
@@ -1,7 +1,8 @@
 /**
- * What a replica must not forget: term, vote, log and members. Changes take
- * effect in memory at once and are queued for the disk in the same order;
- * nothing may be answered that relies on them before its ticket is durable.
+ * The persistent state of a replica: term, vote, log and members. Changes take
+ * effect in memory at once and are queued for the disk in the same order. A
+ * reply that relies on a change must wait until the ticket of the change is
+ * durable.
  */
 import { invariant } from '../../utils/errors.js'
 import type { Snapshot, WrittenSnapshot } from '../storage/snapshotFile.js'
@@ -41,7 +42,7 @@
   }
 
   setHardState (hardState: HardState): number {
-    invariant(hardState.term >= this.term, `term ${hardState.term} after ${this.term}`)
+    invariant(hardState.term >= this.term, `the term would decrease from ${this.term} to ${hardState.term}`)
     this._hardState = hardState
     return this.writer.enqueue([{ kind: 'hardState', hardState }])
   }
@@ -55,8 +56,8 @@
   }
 
   /**
-   * Takes over a leader's entries behind one that both logs have.
-   * @param commitIndex entries up to here never change
+   * Merges a leader's entries that follow an entry which both logs contain.
+   * @param commitIndex entries up to this index never change
    */
   merge (request: AppendRequest, commitIndex: number): MergeOutcome {
     const { prevIndex, prevTerm } = request
@@ -71,7 +72,7 @@
     return { kind: 'merged', matchIndex: prevIndex + request.entries.length }
   }
 
-  /** Replaces the log up to a snapshot by it. */
+  /** Replaces the log up to a snapshot's last entry with the snapshot, except for the entries to keep in memory. */
   compact (snapshot: WrittenSnapshot, keptEntriesCount: number): number {
     const keptFromIndex = Math.max(this.log.baseIndex, snapshot.lastIndex - keptEntriesCount)
     this.log.compactTo(keptFromIndex)
@@ -79,7 +80,7 @@
     return this._enqueueCompaction(snapshot)
   }
 
-  /** Takes over a leader's snapshot. */
+  /** Installs a leader's snapshot. */
   install (snapshot: Snapshot): number {
     const { lastIndex, lastTerm, lastAtMs, lengthBytes } = snapshot
     const keepsTail = this.log.termAt(lastIndex) === lastTerm
@@ -97,17 +98,17 @@
     })
   }
 
-  /** Cuts off what contradicts the entries; returns those that are not there yet. */
+  /** Truncates the log where it conflicts with the entries; returns the entries that it does not contain yet. */
   private _dropKnown (entries: LogEntry[], commitIndex: number): LogEntry[] {
     const firstUnknown = entries.findIndex(entry => entry.index > this.log.baseIndex && this.log.termAt(entry.index) !== entry.term)
     const first = entries[firstUnknown]
     if (!first) return []
     if (first.index <= this.log.lastIndex) {
-      invariant(first.index > commitIndex, `leader contradicts the committed entry ${first.index}`)
+      invariant(first.index > commitIndex, `the leader's entry ${first.index} conflicts with a committed entry`)
       this.log.truncateFrom(first.index)
       this.members.truncateFrom(first.index)
     }
-    // Copies, so that no entry keeps the whole message it came in.
+    // Copies, so that no entry keeps the whole message that carried it in memory.
     return entries.slice(firstUnknown).map(entry => ({ ...entry, payload: Uint8Array.from(entry.payload) }))
   }
 }
--- a/src/replication/log/proposals.ts
+++ b/src/replication/log/proposals.ts
@@ -1,11 +1,11 @@
 /**
- * Proposals that wait for their entry to be applied.
+ * Proposals that are waiting for their entry to be applied.
  */
 import type { LogEntry } from './logEntry.js'
 
 export type ProposalOutcome =
   | { kind: 'committed', index: number, result: unknown }
-  /** The entry's place in the log belongs to another one for good. */
+  /** Another entry has been committed at the proposal's index. */
   | { kind: 'notCommitted', reason: string }
   | { kind: 'unknown', reason: string }
 
@@ -21,10 +21,10 @@
     return this._pending.size
   }
 
-  /** The outcome of an entry; call `abandon` when nobody waits for it any more. */
+  /** Resolves with the outcome of an entry; call `abandon` when it is no longer awaited. */
   outcomeOf (index: number, term: number): Promise<ProposalOutcome> {
-    // What stood in this place was cut off here, but another replica may still bring it back.
-    this._pending.get(index)?.settle({ kind: 'unknown', reason: 'cut off by a later leader' })
+    // The earlier entry at this index was truncated here, but another replica may still commit it.
+    this._pending.get(index)?.settle({ kind: 'unknown', reason: `entry ${index} was truncated by a later leader` })
     return new Promise(resolve => this._pending.set(index, { term, settle: resolve }))
   }
 
@@ -40,12 +40,12 @@
     else pending.settle({ kind: 'notCommitted', reason: 'another entry took its place' })
   }
 
-  /** A snapshot has covered these entries; their results are not known here. */
+  /** Settles proposals up to an index that a snapshot covers: they may be committed, but their results are not known here. */
   resolveCovered (index: number): void {
     for (const [pendingIndex, pending] of this._pending) {
       if (pendingIndex > index) continue
       this._pending.delete(pendingIndex)
-      pending.settle({ kind: 'unknown', reason: 'covered by a snapshot' })
+      pending.settle({ kind: 'unknown', reason: `entry ${pendingIndex} is covered by a snapshot` })
     }
   }
 }
--- a/src/replication/log/raftMethods.ts
+++ b/src/replication/log/raftMethods.ts
@@ -1,7 +1,7 @@
 /**
- * What replicas say to each other over framed TCP. Each request names the
- * cluster and both replicas, so that a host whose disk was wiped is not taken
- * for the replica it used to hold.
+ * Methods that replicas call on each other over framed TCP. Each request names
+ * the cluster and both replicas, so that a host whose disk was wiped is not
+ * mistaken for its former replica.
  */
 import { z } from 'zod'
 import { rpcMethod } from '../../transport/rpcPeer.js'
@@ -14,7 +14,7 @@
   term: z.int()
 }
 
-/** The receiver is not the replica that was meant. */
+/** The receiver is not the replica that the request names. */
 const wrongReplica = z.object({ kind: z.literal('wrongReplica') })
 /** The receiver knows of a later term. */
 const staleTerm = z.object({ kind: z.literal('staleTerm'), term: z.int() })
@@ -32,9 +32,9 @@
 
 export const voteRequestSchema = z.object({
   ...address,
-  /** Asks whether a vote would be given, and changes nothing. */
+  /** Only asks whether the vote would be granted; changes nothing at the receiver. */
   isPreVote: z.boolean(),
-  /** The leader of the term before has given its lease up and asked for this election. */
+  /** The leader of the previous term has given up its lease and requested this election. */
   isHandover: z.boolean(),
   lastIndex: z.int(),
   lastTerm: z.int()
@@ -58,7 +58,7 @@
 export type AppendRequest = z.infer<typeof appendRequestSchema>
 
 export const appendReplySchema = z.discriminatedUnion('kind', [
-  /** The log agrees with the leader's up to the index, and is synced that far. */
+  /** The log matches the leader's up to the index, and is synced up to it. */
   z.object({ kind: z.literal('matched'), matchIndex: z.int() }),
   z.object({ kind: z.literal('mismatch'), retryFromIndex: z.int() }),
   staleTerm,
@@ -68,7 +68,7 @@
 
 export const heartbeatRequestSchema = z.object({
   ...address,
-  /** No higher than what the receiver is known to have synced. */
+  /** At most the index up to which the receiver is known to have synced. */
   commitIndex: z.int()
 })
 export type HeartbeatRequest = z.infer<typeof heartbeatRequestSchema>
@@ -80,10 +80,10 @@
 ])
 export type HeartbeatReply = z.infer<typeof heartbeatReplySchema>
 
-/** Asks a follower to stand for election at once; its term is that of the leader that hands over. */
+/** Reply to the request that a follower start an election at once. The term of the request is that of the leader that hands over. */
 export const campaignReplySchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('campaigning') }),
-  /** It does not vote, or follows another term. */
+  /** The receiver is not a voter, leads itself, or is in another term. */
   z.object({ kind: z.literal('declined') }),
   wrongReplica
 ])
@@ -114,7 +114,7 @@
   operatorAddress: z.string(),
   /** Null for a replica that belongs to no cluster yet. */
   clusterId: z.string().nullable(),
-  /** The leader as this replica knows it. */
+  /** The current leader, as far as this replica knows. */
   leader: z.object({ hostId: z.string(), peerAddress: z.string(), operatorAddress: z.string() }).optional()
 })
 export type IdentifyReply = z.infer<typeof identifyReplySchema>
--- a/src/replication/log/replica.ts
+++ b/src/replication/log/replica.ts
@@ -1,6 +1,6 @@
 /**
- * One replica of the log: the module that wires its parts, serves the other
- * replicas, and offers proposing and reading to the rest of the program.
+ * One replica of the log: wires its components together, serves the calls of
+ * the other replicas, and offers proposals and reads to the rest of the program.
  */
 import { Encoder } from 'cbor-x'
 import { sleepUntil, type Clock } from '../../utils/clock.js'
@@ -47,32 +47,32 @@
   state: ReplicatedState<unknown, unknown>
   snapshotPolicy: SnapshotPolicy
   observer?: ApplyObserver
-  /** Instant before which this process answered nobody; when absent, the making of the replica. */
+  /** Time before which this process answered no requests; defaults to the creation of the replica. */
   startedAtMs?: number
-  /** From the opening of the data folder until it was read. */
+  /** Time taken to open and read the data folder. */
   readMs?: number
 }
 
 export type ReadOutcome = { kind: 'confirmed' } | { kind: 'notLeader' } | { kind: 'unavailable', reason: string }
 
-/** How a reader is told that what it reads is not out of date. */
+/** How a read is proven to be linearizable. */
 export enum ReadMode {
-  /** A quorum confirms the leader after the read began. */
+  /** A quorum confirms the leader after the read started. */
   Quorum = 'quorum',
-  /** The leader's lease is enough, while it lasts; relies on clock rates. */
+  /** The leader's lease suffices while it is valid; relies on bounded clock rates. */
   Lease = 'lease'
 }
 
-/** Proposals that may wait for a commit at once. */
+/** Proposals that may wait for their commit at the same time. */
 const MAX_PROPOSALS_COUNT = 10_000
-/** One try to be confirmed as leader, and the pause before the next. */
+/** Timeout of one attempt to be confirmed as leader, and the pause before the next one. */
 const CURRENT_TIMEOUT_MS = 1_000
 const CURRENT_RETRY_MS = 20
 
 export class Replica {
   readonly core: ReplicaCore
   readonly links: PeerLinks
-  /** Without what was read at the start, which has its places by now. */
+  /** Without `opened`, whose contents have been handed to the components and must not be kept alive. */
   private readonly _options: Omit<ReplicaOptions, 'opened'>
   private readonly _scope: Scope
   private readonly _applier: LogApplier
@@ -84,7 +84,7 @@
   private readonly _encoder = new Encoder({ useRecords: false })
   private _leadership: Leadership | undefined
   private _membershipChanges: MembershipChanges | undefined
-  /** Notified when a leader hands over to this replica. */
+  /** Notified when a leader hands its leadership over to this replica. */
   private readonly _campaignRequested = new Signal()
   /** Term of the leader that handed over. */
   private _handedOverTerm: number | undefined
@@ -121,12 +121,12 @@
     return this._applier.applied
   }
 
-  /** The present leadership of this replica, if it leads. */
+  /** The current leadership of this replica, if it leads. */
   get leadership (): Leadership | undefined {
     return this._leadership?.scope.isClosed === false ? this._leadership : undefined
   }
 
-  /** Registers what the other replicas call; before the listener opens. */
+  /** Registers the methods that other replicas call; call this before the listener opens. */
   serve (handlers: RpcHandlers): void {
     handlers.on(voteMethod, request => this._voting.onVote(request))
     handlers.on(appendMethod, request => this._following.onAppend(request))
@@ -144,13 +144,13 @@
     this._options.supervisor.spawn('elections', scope => this._runElections(scope))
   }
 
-  /** Puts a command into the log and waits until it was applied. */
+  /** Appends a command to the log and waits until it is applied. */
   async propose (command: unknown, progress: Progress): Promise<ProposalOutcome> {
     const leadership = this.leadership
     if (!leadership) return { kind: 'notCommitted', reason: 'not the leader' }
-    if (leadership.isHandingOver) return { kind: 'notCommitted', reason: 'the leader hands over' }
-    if (this._proposals.count >= MAX_PROPOSALS_COUNT) return { kind: 'notCommitted', reason: 'too many proposals wait' }
-    // A copy of the encoder's buffer, which is shared.
+    if (leadership.isHandingOver) return { kind: 'notCommitted', reason: 'the leader is handing over its leadership' }
+    if (this._proposals.count >= MAX_PROPOSALS_COUNT) return { kind: 'notCommitted', reason: `too many pending proposals: the limit is ${MAX_PROPOSALS_COUNT}` }
+    // Copied, because the encoder reuses its buffer.
     const index = leadership.propose(Uint8Array.from(this._encoder.encode(command)))
     const outcome = this._proposals.outcomeOf(index, leadership.term)
     try {
@@ -161,7 +161,7 @@
     }
   }
 
-  /** Makes sure that the state holds everything that was committed before the call. */
+  /** Waits until the state contains everything that was committed before the call. */
   async read (mode: ReadMode, progress: Progress): Promise<ReadOutcome> {
     const leadership = this.leadership
     if (!leadership) return { kind: 'notLeader' }
@@ -170,14 +170,14 @@
       const index = byLease ?? await leadership.readIndex(progress)
       if (index === undefined) return { kind: 'unavailable', reason: 'a quorum did not confirm the leader in time' }
       const applied = await progress.race(this._applier.whenApplied(index, this._scope))
-      return applied.kind === 'done' ? { kind: 'confirmed' } : { kind: 'unavailable', reason: 'not applied in time' }
+      return applied.kind === 'done' ? { kind: 'confirmed' } : { kind: 'unavailable', reason: `entry ${index} was not applied in time` }
     } catch (error) {
       if (!(error instanceof ScopeClosedError)) throw error
       return { kind: 'notLeader' }
     }
   }
 
-  /** Waits until the state holds everything that earlier leaders committed; for a replica that has begun to lead. */
+  /** Waits until the state contains everything that earlier leaders committed; for a replica that has just become leader. */
   async whenCurrent (scope: Scope): Promise<void> {
     const { clock } = this._options
     for (;;) {
@@ -187,12 +187,12 @@
     }
   }
 
-  /** Waits until the state holds an entry. */
+  /** Waits until an entry is applied to the state. */
   async whenApplied (index: number): Promise<void> {
     await this._applier.whenApplied(index, this._scope)
   }
 
-  /** Ends this replica's leadership, if it leads, so that another one begins at once. */
+  /** Transfers this replica's leadership, if it leads, to another replica without an election timeout. */
   async handOver (progress: Progress): Promise<void> {
     const { leadership } = this
     if (leadership) await new Handover(this.core, this.links, leadership).run(progress)
@@ -240,7 +240,7 @@
     return { kind: 'campaigning' }
   }
 
-  /** Returns after a pause, when nobody was heard from for a random election timeout, or when a leader hands over. */
+  /** Returns when the pause is over and no leader has called for a random election timeout, or at once when a leader hands over. */
   private async _waitUntilElectionDue (scope: Scope, pauseMs: number): Promise<void> {
     const { clock, random, timings } = this._options
     const timeoutMs = random.int(timings.electionMinMs, timings.electionMaxMs)
@@ -262,7 +262,7 @@
     try {
       await leadership.run()
     } finally {
-      supervisor.scope.close('leadership over')
+      supervisor.scope.close('leadership ended')
       this._leadership = undefined
       this._membershipChanges = undefined
     }
--- a/src/replication/log/replicaCore.ts
+++ b/src/replication/log/replicaCore.ts
@@ -1,6 +1,6 @@
 /**
- * The state of a replica that its parts share: role, term, leader and how far
- * the log is committed, with the steps that keep them consistent.
+ * State shared by the components of a replica: role, term, leader and commit
+ * index, with the transitions that keep them consistent.
  */
 import type { Clock } from '../../utils/clock.js'
 import { invariant } from '../../utils/errors.js'
@@ -25,13 +25,14 @@
 }
 
 /**
- * How much longer replicas wait for a leader when leaders change over and over
- * although their hosts are up: each new one has to begin all that the one
- * before ran, and is held up by it even longer. One loss costs what it did;
- * a second one within the window twice, from the third on four times.
+ * Upper limit for the backoff of election timeouts when leaders change
+ * repeatedly although their hosts are up: each new leader has to restart
+ * everything that the previous one ran, and is overloaded by that even longer.
+ * One election within the window leaves the timeout unchanged, after the second
+ * it is doubled, and from the third on it is four times as long.
  */
 const MAX_ELECTION_TIMEOUT_FACTOR = 4
-/** Longer than a leader needs to begin a step of every trainer, a few seconds. */
+/** Longer than the few seconds that a leader needs to start a step of every trainer. */
 const ELECTIONS_WINDOW_MS = 15_000
 
 export interface CoreOptions {
@@ -42,7 +43,7 @@
   timings: LogTimings
   storage: ReplicaStorage
   state: PersistentState
-  /** Instant before which this process answered nobody. */
+  /** Time before which this process answered no requests. */
   startedAtMs: number
 }
 
@@ -50,7 +51,7 @@
   readonly options: CoreOptions
   readonly state: PersistentState
   readonly snapshotStats: SnapshotFigures
-  /** Notified when the commit index moves. */
+  /** Notified when the commit index advances. */
   readonly committed = new Signal()
   /** Notified when the leader or the term changes. */
   readonly leaderChanged = new Signal()
@@ -60,7 +61,7 @@
   private _lastLeaderContactMs: number
   private _lastVoteGrantedMs = Number.NEGATIVE_INFINITY
   private _adoption: Promise<void> | undefined
-  /** When leaders were elected after a silence, the oldest first. */
+  /** Times of recent elections that followed an election timeout, oldest first. */
   private _electedAtMs: number[] = []
   private _onStepDown: (reason: string) => void = () => {}
 
@@ -69,9 +70,9 @@
     this.state = options.state
     this.snapshotStats = new SnapshotFigures(options.clock)
     this.commitIndex = commitIndex
-    // After a restart it cannot know whom it heard from; it votes for nobody
-    // until any lease that its last answers gave has ended. They were given
-    // before this process began.
+    // After a restart, the replica does not know which leader it last answered.
+    // It votes for nobody until any lease that its last answers supported has
+    // expired. Those answers were sent before this process started.
     this._lastLeaderContactMs = options.startedAtMs
   }
 
@@ -95,17 +96,17 @@
     return this.state.members.latest
   }
 
-  /** The member that leads, as far as this replica knows. */
+  /** The current leader, as far as this replica knows. */
   get leader (): Member | undefined {
     return this.members.find(member => member.replicaId === this._leaderReplicaId)
   }
 
-  /** When a leader was last heard from, or a candidate was given its chance. */
+  /** Start of the election timer: the later of the leader's last call and this replica's last granted vote. */
   get quietSinceMs (): number {
     return Math.max(this._lastLeaderContactMs, this._lastVoteGrantedMs)
   }
 
-  /** What election time-outs are multiplied by. */
+  /** Factor by which election timeouts are multiplied. */
   get electionTimeoutFactor (): number {
     const sinceMs = this.options.clock.nowMs() - ELECTIONS_WINDOW_MS
     const recentCount = this._electedAtMs.filter(atMs => atMs >= sinceMs).length
@@ -113,20 +114,20 @@
     return Math.min(MAX_ELECTION_TIMEOUT_FACTOR, 2 ** repeatedCount)
   }
 
-  /** Whether it may stand for election. */
+  /** Whether this replica may start an election. */
   isVoter (): boolean {
     return this.clusterId !== null && isVoter(this.members, this.replicaId)
   }
 
-  /** True while a vote for another could break the leader's lease. */
+  /** True while a vote for another candidate could violate the leader's lease. */
   isBoundToLeader (): boolean {
     if (this._role === ReplicaRole.Leader) return true
     return this.options.clock.nowMs() < this._lastLeaderContactMs + this.options.timings.electionMinMs
   }
 
   /**
-   * Whether a request is for this replica; a replica without a cluster enters
-   * the one that addresses it by its id.
+   * Whether a request is addressed to this replica. A replica without a cluster
+   * joins the cluster of the first request that names its replica id.
    */
   async accepts (request: Addressed): Promise<boolean> {
     if (request.toReplicaId !== this.replicaId) return false
@@ -134,15 +135,15 @@
     return this.clusterId === request.clusterId
   }
 
-  /** Enters a cluster for good; the first one wins. */
+  /** Binds the replica permanently to a cluster; later calls have no effect. */
   async adopt (clusterId: string): Promise<void> {
     this._adoption ??= this.options.storage.adoptCluster(clusterId)
     await this._adoption
   }
 
-  /** A request of a term's leader has come: follow it. */
+  /** Follows the leader of a term, from which a request was received. */
   follow (term: number, leaderReplicaId: string): void {
-    invariant(term >= this.term, 'a leader of an earlier term is not followed')
+    invariant(term >= this.term, `cannot follow the leader of term ${term}: the current term is ${this.term}`)
     this.observeTerm(term)
     invariant(this._role !== ReplicaRole.Leader, `two leaders in term ${term}`)
     this._role = ReplicaRole.Follower
@@ -155,11 +156,11 @@
     this.leaderChanged.notify()
   }
 
-  /** A later term ends whatever this replica was in the present one. */
+  /** Steps down to follower if a term is later than the current one. */
   observeTerm (term: number): void {
     if (term <= this.term) return
     this.state.setHardState({ term, votedFor: null })
-    this.stepDown(`term ${term} has begun`)
+    this.stepDown(`term ${term} has started`)
   }
 
   stepDown (reason: string): void {
@@ -189,8 +190,9 @@
   }
 
   /**
-   * Notes that there is a new leader; before the contact with it is. One that a
-   * leader handed over to begins at once and is not counted.
+   * Records the election of a new leader; must be called before the contact
+   * with that leader is recorded. A leader that took over by a handover starts
+   * at once and is not counted.
    */
   private _recordElection (): void {
     const nowMs = this.options.clock.nowMs()
@@ -198,20 +200,20 @@
     this._electedAtMs = [...this._electedAtMs.filter(atMs => atMs >= nowMs - ELECTIONS_WINDOW_MS), nowMs]
   }
 
-  /** A vote was given: the candidate gets its time to win. */
+  /** Restarts the election timer, so that the candidate has time to win. */
   recordVoteGranted (): void {
     this._lastVoteGrantedMs = this.options.clock.nowMs()
   }
 
   commitTo (index: number): void {
     if (index <= this.commitIndex) return
-    invariant(index <= this.state.log.lastIndex, `commit index ${index} is behind the end of the log`)
+    invariant(index <= this.state.log.lastIndex, `commit index ${index} is beyond the end of the log at ${this.state.log.lastIndex}`)
     this.options.metrics.count(MetricName.LogCommitted, {}, index - this.commitIndex)
     this.commitIndex = index
     this.committed.notify()
   }
 
-  /** Waits until everything that was changed so far is synced. */
+  /** Waits until all changes made so far are synced to disk. */
   async settled (scope: Scope): Promise<void> {
     await this.state.writer.whenDurable(this.state.writer.latestTicket, scope)
   }
--- a/src/replication/log/replicaGauges.ts
+++ b/src/replication/log/replicaGauges.ts
@@ -1,6 +1,5 @@
 /**
- * Gauges of a replica of the log: what it holds, how far it is, and whom it
- * counts among the members.
+ * Gauges of a replica: size of its log, progress, snapshots and members.
  */
 import { MetricName } from '../../utils/metricNames.js'
 import type { Metrics } from '../../utils/metrics.js'
@@ -9,7 +8,7 @@
 import type { Replica } from './replica.js'
 import type { ReplicaCore } from './replicaCore.js'
 
-/** What only a leader knows is shown as this elsewhere, so that no value of an earlier leadership stays. */
+/** Value of leader-only gauges on other replicas, so that no stale value of an earlier leadership remains. */
 export const NOT_LEADING = -1
 
 export function setReplicaGauges (replica: Replica, metrics: Metrics): void {
--- a/src/replication/log/replicaPlacement.ts
+++ b/src/replication/log/replicaPlacement.ts
@@ -1,24 +1,25 @@
 /**
- * How many replicas of a log there are and where, when there are more hosts
- * than the losses to bear need. No network.
+ * Decides how many replicas a log has and on which hosts, when there are more
+ * hosts than the number of losses to tolerate requires. Pure functions, no
+ * network.
  *
- * The pattern it answers: with every host a voter, each entry goes to all of
- * them and waits for half of them, so that a larger deployment is a slower one:
- * thirty store hosts make thirty copies of each result, most of them over links
- * between data centres. 2f + 1 voters hold an entry on one disk more than may be
- * lost. f spares hold the log as learners, so that a lost voter's place is taken
- * at once, without a copy of the state first; the others hold nothing until they
- * are needed.
+ * If every host were a voter, each entry would be sent to all of them and wait
+ * for half of them, so a larger deployment would be slower: thirty store hosts
+ * would write thirty copies of each result, most of them over links between
+ * data centres. With 2f + 1 voters, a committed entry is on one more disk than
+ * may be lost. f spares hold the log as learners, so that a lost voter is
+ * replaced at once, without copying the state first. The other hosts hold
+ * nothing until they are needed.
  */
 import { MemberRole, type Member } from './members.js'
 
 export interface ReplicaPlacement {
   votersCount: number
-  /** Learners that hold the log and stand by. */
+  /** Learners that hold the log as standbys. */
   sparesCount: number
 }
 
-/** @param toleratedLosses disks that may be lost at once */
+/** @param toleratedLosses number of disks that may be lost at the same time */
 export function placementFor (toleratedLosses: number): ReplicaPlacement {
   return { votersCount: 2 * toleratedLosses + 1, sparesCount: toleratedLosses }
 }
@@ -27,16 +28,19 @@
   return votersCount + sparesCount
 }
 
-/** Whether a newcomer is wanted beside the hosts that are members and stay. */
+/**
+ * Whether a newcomer is to be added to the members.
+ * @param staying members whose hosts are not leaving
+ */
 export function hasPlace (placement: ReplicaPlacement, staying: readonly Member[], newcomer: Omit<Member, 'role'>): boolean {
   const hostIds = new Set(staying.map(({ hostId }) => hostId))
   if (hostIds.size >= membersCount(placement)) return false
-  // Fewer than the voters that are needed are worse than two in one place.
+  // Too few voters are worse than an uneven distribution over data centres.
   if (hostIds.size < placement.votersCount) return true
   return countIn(staying, newcomer.dataCentre) < maxPerDataCentre(placement, [...staying, newcomer])
 }
 
-/** As even as it can be over the data centres that are known. */
+/** Maximum number of members per data centre for an even distribution over the known ones. */
 function maxPerDataCentre (placement: ReplicaPlacement, members: ReadonlyArray<Omit<Member, 'role'>>): number {
   const dataCentres = new Set(members.map(({ dataCentre }) => dataCentre))
   return Math.ceil(membersCount(placement) / dataCentres.size)
@@ -46,12 +50,12 @@
   return members.filter(member => member.dataCentre === dataCentre).length
 }
 
-/** Of learners that could vote, the one whose data centre has the fewest voters. */
+/** Of learners that may be promoted, the one whose data centre has the fewest voters. */
 export function bestCandidate (learners: readonly Member[], voters: readonly Member[]): Member | undefined {
   return byDataCentreCount(learners, voters)[0]
 }
 
-/** A member that is there beyond the places: it votes or learns one step less; undefined when there is none. */
+/** A member beyond the placement, which is to be demoted (a voter) or removed (a learner); undefined if there is none. */
 export function excessMember (placement: ReplicaPlacement, staying: readonly Member[], leaderId: string): Member | undefined {
   const voters = staying.filter(({ role }) => role === MemberRole.Voter)
   const others = voters.filter(({ replicaId }) => replicaId !== leaderId)
@@ -60,11 +64,12 @@
   return staying.length > membersCount(placement) ? byDataCentreCount(learners, staying).at(-1) : undefined
 }
 
+/** Sorts members by how many of the counted ones are in their data centre, fewest first. */
 function byDataCentreCount (members: readonly Member[], counted: readonly Member[]): Member[] {
   return [...members].sort((left, right) => countIn(counted, left.dataCentre) - countIn(counted, right.dataCentre))
 }
 
-/** The first of a list of hosts, taken from each data centre in turn. */
+/** Selects hosts by taking them from each data centre in turn, in the order of the list. */
 export function spreadOver<T extends { dataCentre: string }> (hosts: readonly T[], count: number): T[] {
   const byDataCentre = new Map<string, T[]>()
   for (const host of hosts) byDataCentre.set(host.dataCentre, [...byDataCentre.get(host.dataCentre) ?? [], host])
--- a/src/replication/log/replication.ts
+++ b/src/replication/log/replication.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's two tasks for each other replica: one sends entries and
- * snapshots, one at a time; the other sends heartbeats, which wait for no
- * disk and so tell whether the leader is still followed.
+ * The leader's two tasks for each follower. One sends entries and snapshots,
+ * one message at a time. The other sends heartbeats; a follower answers them
+ * without waiting for its disk, so they show whether it still follows the leader.
  */
 import { invariant } from '../../utils/errors.js'
 import { sleepUntil } from '../../utils/clock.js'
@@ -12,16 +12,16 @@
 import { appendMethod, heartbeatMethod, snapshotMethod, type AppendReply, type SnapshotReply } from './raftMethods.js'
 import type { ReplicaCore } from './replicaCore.js'
 
-/** Entries of one message, in bytes; one entry may be larger. */
+/** Size limit for the entries of one message; a single larger entry is still sent. */
 const MAX_APPEND_BYTES = 1024 * 1024
-/** Read from the disk and sent one by one: the leader holds one of them for each replica that is behind. */
+/** Chunks are read from disk and sent one by one; the leader holds one in memory per follower that needs a snapshot. */
 const SNAPSHOT_CHUNK_BYTES = 512 * 1024
 
-/** What the tasks tell the leadership. */
+/** Callbacks from the replication tasks to the leadership. */
 export interface ReplicationListener {
-  /** Numbers requests, so that an answer tells what had been asked before it. */
+  /** Numbers requests, so that an answer also confirms everything requested before it. */
   nextRound (): number
-  /** The highest number that somebody waits for to be confirmed. */
+  /** Highest round whose confirmation is awaited. */
   readonly requestedRound: number
   onAcknowledged (): void
   onMatched (): void
@@ -42,7 +42,7 @@
     this._term = core.term
   }
 
-  /** Sends entries as they come, until the scope closes. */
+  /** Sends entries as they are appended, until the scope closes. */
   async sendEntries (scope: Scope): Promise<void> {
     const { clock, timings } = this._core.options
     const { log } = this._core.state
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Sends a heartbeat at every interval, and at once when a confirmation is wanted. */
+  /** Sends a heartbeat in every interval, and at once when a confirmation is requested. */
   async sendHeartbeats (scope: Scope): Promise<void> {
     const { clock, timings } = this._core.options
     for (;;) {
@@ -74,7 +74,7 @@
     const { log } = this._core.state
     const prevIndex = this._follower.nextIndex - 1
     const prevTerm = log.termAt(prevIndex)
-    invariant(prevTerm !== undefined, `entry ${prevIndex} is not held`)
+    invariant(prevTerm !== undefined, `entry ${prevIndex} is not in the log: it was compacted away`)
     const entries = log.slice(this._follower.nextIndex, MAX_APPEND_BYTES)
     const request = { ...this._address(), prevIndex, prevTerm, commitIndex: this._core.commitIndex, entries }
     const sentAt = this._sentAt()
@@ -126,14 +126,14 @@
     let offsetBytes = 0
     for (;;) {
       const bytes = await scope.race(storage.readSnapshotChunk(snapshot, offsetBytes, SNAPSHOT_CHUNK_BYTES))
-      // A later snapshot has taken its place.
+      // A later snapshot has replaced it on disk.
       if (!bytes) return false
       const chunk = { lastIndex, lastTerm, offsetBytes, totalBytes, bytes }
       const reply = await this._sendSnapshotChunk(chunk, scope)
       if (reply?.kind === 'installed') {
         this._follower.recordMatch(reply.matchIndex)
         this._listener.onMatched()
-        // While a later snapshot waits for the disk, this one may end before the log begins.
+        // The in-memory log may already be compacted to a later snapshot that is still being written. Then entries before the log's base are missing and the later snapshot is needed.
         return this._follower.nextIndex > this._core.state.log.baseIndex
       }
       if (reply?.kind !== 'expecting') return false
--- a/src/replication/log/snapshotFigures.ts
+++ b/src/replication/log/snapshotFigures.ts
@@ -1,5 +1,5 @@
 /**
- * How large the last snapshot of each source was, and how long it took.
+ * Size and duration of the latest snapshot from each source.
  */
 import type { Clock } from '../../utils/clock.js'
 
@@ -17,25 +17,25 @@
 export class SnapshotFigures {
   private readonly _clock: Clock
   private readonly _latest = new Map<SnapshotSource, SnapshotStat>()
-  /** The leader's snapshot that is on its way. */
+  /** The leader's snapshot that is being received. */
   private _arriving: { lastIndex: number, sinceMs: number } | undefined
 
   constructor (clock: Clock) {
     this._clock = clock
   }
 
-  /** The last snapshot of each source that there was one of. */
+  /** Statistics of the latest snapshot by source; sources without a snapshot are absent. */
   get latest (): ReadonlyMap<SnapshotSource, SnapshotStat> {
     return this._latest
   }
 
-  /** A piece of the leader's snapshot has come. */
+  /** Records the arrival of a chunk of the leader's snapshot. */
   noteArriving (lastIndex: number): void {
     if (this._arriving?.lastIndex === lastIndex) return
     this._arriving = { lastIndex, sinceMs: this._clock.nowMs() }
   }
 
-  /** The leader's snapshot is in force; returns how long it took since its first piece came. */
+  /** Records that the leader's snapshot is installed; returns the milliseconds since its first chunk arrived. */
   noteInstalled (bytesCount: number): number {
     const sinceMs = this._arriving?.sinceMs ?? this._clock.nowMs()
     this._arriving = undefined
--- a/src/replication/log/snapshotReceiver.ts
+++ b/src/replication/log/snapshotReceiver.ts
@@ -1,6 +1,6 @@
 /**
- * Puts a leader's snapshot together on the disk from its pieces, one call at a
- * time. A piece that is not the next one is answered by the position expected.
+ * Assembles a leader's snapshot on disk from the chunks it sends, one call at a
+ * time. A chunk other than the next one is answered with the expected offset.
  */
 import { DiskFullError } from '../../utils/errors.js'
 import type { IncomingSnapshot } from '../storage/incomingSnapshot.js'
@@ -10,9 +10,9 @@
 
 export type ReceiveOutcome =
   | { kind: 'incomplete', offsetBytes: number }
-  /** The disk has no room for what was to come at the position. */
+  /** The disk has no space for the chunk at the offset. */
   | { kind: 'full', offsetBytes: number, reason: string }
-  /** It lies on the disk; it has to be installed or discarded. */
+  /** The snapshot is on disk; it must be installed or discarded. */
   | { kind: 'complete', snapshot: Snapshot }
 
 interface Transfer {
@@ -27,13 +27,13 @@
   private _transfer: Transfer | undefined
   private _lastCall: Promise<unknown> = Promise.resolve()
 
-  /** @param mapPiece what is kept of each piece that has come */
+  /** @param mapPiece maps each piece of the state to the value that is kept */
   constructor (storage: ReplicaStorage, mapPiece: (piece: unknown) => unknown) {
     this._storage = storage
     this._mapPiece = mapPiece
   }
 
-  /** Calls take effect in the order in which they came, also when a leader has given up waiting for the one before. */
+  /** Calls take effect in the order of their arrival, even if the leader has stopped waiting for an earlier one. */
   receive (request: SnapshotRequest): Promise<ReceiveOutcome> {
     const call = this._lastCall.then(() => this._receive(request))
     this._lastCall = call.catch(() => {})
--- a/src/replication/log/startReport.ts
+++ b/src/replication/log/startReport.ts
@@ -1,6 +1,6 @@
 /**
- * Tells how the start of a replica went: what it read, how long that took, and
- * when it had caught up with its own log.
+ * Logs the progress of a replica's startup: what it loaded, how long that took,
+ * and when it had applied its own log.
  */
 import type { Scope } from '../../utils/scope.js'
 import { ReplicationEvent } from '../replicationEvents.js'
@@ -8,13 +8,13 @@
 import { MemberRole, votersOf } from './members.js'
 import type { Replica } from './replica.js'
 
-/** A leader becomes known in several ways, not all of which apply an entry; the line is late by no more than this. */
+/** Polling interval: a leader may become known without an entry being applied, which would notify the wait. The log line is late by at most this. */
 const REVIEW_INTERVAL_MS = 250
 
 export interface LoadDurations {
-  /** From the opening of the data folder; undefined when nobody measured it. */
+  /** Time taken to open and read the data folder; undefined if it was not measured. */
   readMs: number | undefined
-  /** What the state took to take the snapshot over. */
+  /** Time taken to restore the state from the snapshot. */
   restoreMs: number
 }
 
@@ -34,7 +34,7 @@
     this._lastOwnIndex = log.lastIndex
   }
 
-  /** The replica answers the others from now on. */
+  /** Logs that the replica has loaded its data and answers other replicas from now on. */
   logLoaded (): void {
     const { core, appliedIndex } = this._replica
     core.options.logger.event(ReplicationEvent.Loaded, {
@@ -47,7 +47,7 @@
     })
   }
 
-  /** Waits until the replica has applied its own log, and tells so. */
+  /** Waits until the replica knows a leader and has applied its own log, then logs it. */
   async logApplied (scope: Scope): Promise<void> {
     const { core } = this._replica
     const { clock } = core.options
@@ -59,7 +59,7 @@
     })
   }
 
-  /** A leader may cut the end of the log off, which nobody has committed. */
+  /** Compares with the current end of the log, because a leader may truncate uncommitted entries. */
   private _hasAppliedOwnLog (): boolean {
     return this._replica.appliedIndex >= Math.min(this._lastOwnIndex, this._replica.core.state.log.lastIndex)
   }
--- a/src/replication/log/timings.ts
+++ b/src/replication/log/timings.ts
@@ -1,36 +1,38 @@
 /**
- * The times of the replicated log. Failover takes an election timeout, two
- * rounds of votes and a sync; the leader's lease must end before any follower
- * may vote for another, by clocks that differ in rate by less than a quarter.
+ * Timings of the replicated log. Failover takes an election timeout, two
+ * rounds of votes and a sync. The leader's lease must expire before any
+ * follower may vote for another candidate, assuming that the rates of the
+ * hosts' clocks differ by less than a quarter.
  */
 export interface LogTimings {
   heartbeatMs: number
-  /** A follower that heard from its leader within this time votes for nobody else. */
+  /** A follower that received a message from its leader within this time votes for nobody else. */
   electionMinMs: number
   electionMaxMs: number
-  /** Before a replica whom too few would vote for asks again; asking changes nothing at the others. */
+  /** Pause after a failed pre-vote. Can be short, because a pre-vote changes nothing at the other replicas. */
   preVoteRetryMinMs: number
   preVoteRetryMaxMs: number
-  /** The leader's lease, from the sending of a heartbeat that a quorum confirmed. */
+  /** Length of the leader's lease, counted from when a heartbeat was sent that a quorum confirmed. */
   leaderLeaseMs: number
-  /** A call that carries entries, with their sync at the other side. */
+  /** Timeout of a call that carries entries, including their sync at the follower. */
   callTimeoutMs: number
   retryPauseMs: number
   /**
-   * Least time between two messages of entries to one follower: what is
-   * proposed meanwhile goes together. A leader with nine followers and 350
-   * entries a second sends 900 messages a second instead of some 2,700 (worked
-   * out, not measured); a proposal waits half of it more on average.
+   * Minimum interval between two append messages to one follower; entries
+   * proposed in between are sent together. By calculation, a leader with nine
+   * followers and 350 entries per second sends 900 messages per second instead
+   * of about 2,700. In return, a proposal waits half the interval longer on
+   * average.
    */
   appendIntervalMs: number
-  /** After a commit, followers are told within this time also when no entries follow. */
+  /** Followers are notified of a commit within this time, even if no further entries follow. */
   commitNoticeMs: number
 }
 
 /**
- * Hosts of one region: a call takes a few milliseconds, a sync one or two, and
- * a busy host stalls for a few hundred. 400 to 700 ms were tried and taken
- * back (docs/design/log.md).
+ * For hosts in one region: a call takes a few milliseconds, a sync one or two,
+ * and a busy host stalls for a few hundred. Election timeouts of 400 to 700 ms
+ * were tried and rejected (docs/design/log.md).
  */
 export const defaultTimings: LogTimings = {
   heartbeatMs: 150,
--- a/src/replication/log/voterWatch.ts
+++ b/src/replication/log/voterWatch.ts
@@ -1,7 +1,7 @@
 /**
- * Tells the leader's log which voters have fallen silent and which answer
- * again, with how many are left: the loss of the next one may be the one too
- * many, long before a quorum is lost.
+ * Logs, at the leader, which voters stop answering and which answer again, with
+ * the number that still answer. This warns while a quorum is left, when the
+ * loss of one more voter may lose it.
  */
 import { ReplicationEvent } from '../replicationEvents.js'
 import type { Leadership } from './leadership.js'
@@ -10,7 +10,7 @@
 
 export class VoterWatch {
   private readonly _replica: Replica
-  /** Silent voters of the present leadership, by replica. */
+  /** Replica ids of the voters that do not answer the current leadership. */
   private _silent = new Set<string>()
   private _leadership: Leadership | undefined
 
@@ -18,7 +18,7 @@
     this._replica = replica
   }
 
-  /** Compares once; on a host that does not lead it forgets what it knew. */
+  /** Logs the changes since the previous call. On a host that does not lead, it discards the recorded voters. */
   review (): void {
     const { leadership, core } = this._replica
     if (leadership !== this._leadership) this._silent.clear()
@@ -37,7 +37,7 @@
     this._silent = new Set(silent.map(({ replicaId }) => replicaId))
   }
 
-  /** As long as its leader's quorum check allows: an election timeout without an answer. */
+  /** True after an election timeout without an answer, the same limit as in the leader's quorum check. */
   private _isSilent ({ replicaId }: Member, leadership: Leadership): boolean {
     const { clock, timings } = this._replica.core.options
     return leadership.lastSeenAtMs(replicaId) < clock.nowMs() - timings.electionMaxMs
--- a/src/replication/log/voting.ts
+++ b/src/replication/log/voting.ts
@@ -1,7 +1,7 @@
 /**
- * Votes: given to others, and asked for. A replica asks for pre-votes first,
- * so that one which was cut off does not disturb a working leader with a
- * higher term when it comes back.
+ * Elections: grants votes to candidates and runs this replica's own campaigns.
+ * A campaign starts with pre-votes, so that a replica that was partitioned does
+ * not disrupt a working leader with a higher term when it reconnects.
  */
 import type { CallOutcome } from '../../transport/rpcPeer.js'
 import { ScopeClosedError } from '../../utils/errors.js'
@@ -16,16 +16,16 @@
 
 export enum CampaignOutcome {
   Won,
-  /** Too few would vote for this replica: nothing has changed anywhere. */
+  /** This replica is not a voter, too few would vote for it, or it learned of a leader or a later term. The campaign changed nothing at any replica. */
   NotStarted,
   Lost
 }
 
 enum BallotKind {
-  /** Whether a vote would be given. */
+  /** Only asks whether a vote would be granted. */
   PreVote,
   Vote,
-  /** A vote that followers of the leader which handed over may give too. */
+  /** A vote that followers may grant despite the lease of the leader that handed over. */
   Handover
 }
 
@@ -40,7 +40,7 @@
     this._scope = scope
   }
 
-  /** Answers a candidate. */
+  /** Answers the vote request of a candidate. */
   async onVote (request: VoteRequest): Promise<VoteReply> {
     const core = this._core
     if (!(await core.accepts(request))) return { kind: 'wrongReplica' }
@@ -60,7 +60,7 @@
     return isGiven ? { kind: 'granted' } : { kind: 'refused', term: core.term }
   }
 
-  /** Whether the lease of a leader forbids a vote; one that hands over has given its own up. */
+  /** Whether a leader's lease forbids a vote. A leader that hands over has given up its lease. */
   private _isBoundByLease ({ isHandover, term }: VoteRequest): boolean {
     const core = this._core
     const isReleased = isHandover && term === core.term + 1 && core.role !== ReplicaRole.Leader
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Tries to become leader of a new term.
-   * @param isHandover the present leader has given its lease up: nobody has to be asked first
+   * Tries to become the leader of a new term.
+   * @param isHandover whether the leader has given up its lease, so that no pre-votes are needed
    */
   async campaign (isHandover: boolean): Promise<CampaignOutcome> {
     const core = this._core
@@ -93,7 +93,7 @@
     return request.lastTerm > lastTerm || (request.lastTerm === lastTerm && request.lastIndex >= lastIndex)
   }
 
-  /** Asks all voters at once; false as soon as the votes cannot suffice. */
+  /** Requests the votes of all voters concurrently; returns false as soon as a majority is out of reach. */
   private async _collectVotes (term: number, kind: BallotKind): Promise<boolean> {
     const { clock, timings } = this._core.options
     const voters = votersOf(this._core.members)
--- a/src/replication/storage/checksum.ts
+++ b/src/replication/storage/checksum.ts
@@ -1,5 +1,6 @@
 /**
- * xxHash64 over bytes, from xxhash-wasm. It finds damage, not intent.
+ * xxHash64 checksums, from xxhash-wasm. They detect accidental damage, not
+ * tampering.
  */
 import xxhash, { type XXHashAPI } from 'xxhash-wasm'
 import { invariant } from '../../utils/errors.js'
@@ -8,13 +9,13 @@
 
 let loaded: XXHashAPI | undefined
 
-/** Has to come before anything else here; a second call does nothing. */
+/** Must complete before any other function of this module is called; later calls do nothing. */
 export async function loadChecksum (): Promise<void> {
   loaded ??= await xxhash()
 }
 
 export function checksum (bytes: Uint8Array): bigint {
-  invariant(loaded, 'the checksum is used before it is loaded')
+  invariant(loaded, 'checksum() was called before loadChecksum() completed')
   return loaded.h64Raw(bytes)
 }
 
--- a/src/replication/storage/disk.ts
+++ b/src/replication/storage/disk.ts
@@ -1,13 +1,12 @@
 /**
- * The few things that storage asks of a disk. What was written is kept over a
- * loss of power only once it was synced; names of files only once the folder
- * was. Production uses a folder of the file system, tests a disk in memory
- * that forgets what was not synced. Every failure is thrown as a StorageError.
+ * The disk operations that storage needs. Written data survives a power loss
+ * only once the file is synced; file names only once the folder is synced.
+ * Production uses a folder of the file system, tests an in-memory disk that
+ * discards unsynced data. Every failure is thrown as a StorageError.
  */
 export interface DiskFile {
   append (bytes: Uint8Array): Promise<void>
   writeAt (positionBytes: number, bytes: Uint8Array): Promise<void>
-  /** Cuts the file to a length. */
   truncate (lengthBytes: number): Promise<void>
   sync (): Promise<void>
   close (): Promise<void>
@@ -16,21 +15,21 @@
 export interface Disk {
   /** Names of all files. */
   list (): Promise<string[]>
-  /** The whole file; undefined when there is none. */
+  /** Content of a file; undefined if it does not exist. */
   read (name: string): Promise<Uint8Array | undefined>
-  /** Bytes of a file from a position on, fewer at its end; undefined when there is none. */
+  /** Bytes of a file from a position on, fewer at its end; undefined if the file does not exist. */
   readRange (name: string, positionBytes: number, lengthBytes: number): Promise<Uint8Array | undefined>
-  /** Opens a file for writing; an existing one keeps its content. */
+  /** Opens a file for writing and creates it if needed; existing content is kept. */
   open (name: string): Promise<DiskFile>
   rename (from: string, to: string): Promise<void>
   remove (name: string): Promise<void>
-  /** Moves files out of the way, into a folder that nothing reads again. */
+  /** Moves files into a folder that nothing reads again. */
   setAside (names: string[], folder: string): Promise<void>
-  /** Makes creations, renames and removals last. */
+  /** Makes creations, renames and removals durable. */
   syncFolder (): Promise<void>
 }
 
-/** Writes a file so that it is either whole or absent, also after a loss of power. */
+/** Writes a file so that it is either complete or absent, even after a power loss. */
 export async function writeAtomically (disk: Disk, name: string, bytes: Uint8Array): Promise<void> {
   const temporaryName = `${name}${TEMPORARY_SUFFIX}`
   await disk.remove(temporaryName)
--- a/src/replication/storage/fileDisk.ts
+++ b/src/replication/storage/fileDisk.ts
@@ -1,5 +1,5 @@
 /**
- * A folder of the file system as a disk.
+ * A disk backed by a folder of the file system.
  */
 import { mkdir, open, readdir, readFile, rename, rm, type FileHandle } from 'node:fs/promises'
 import { join } from 'node:path'
@@ -13,9 +13,9 @@
     this._folder = folder
   }
 
-  /** Makes the folder if there is none. */
+  /** Creates the folder if it does not exist. */
   static async open (folder: string): Promise<FileDisk> {
-    await withStorageErrors(`make ${folder}`, () => mkdir(folder, { recursive: true }))
+    await withStorageErrors(`create folder ${folder}`, () => mkdir(folder, { recursive: true }))
     return new FileDisk(folder)
   }
 
@@ -63,9 +63,9 @@
 
   async setAside (names: string[], folder: string): Promise<void> {
     const target = join(this._folder, folder)
-    await withStorageErrors(`make ${folder}`, () => mkdir(target, { recursive: true }))
+    await withStorageErrors(`create folder ${folder}`, () => mkdir(target, { recursive: true }))
     for (const name of names) {
-      await withStorageErrors(`set ${name} aside`, () => rename(join(this._folder, name), join(target, name)))
+      await withStorageErrors(`move ${name} to ${folder}`, () => rename(join(this._folder, name), join(target, name)))
     }
     await this.syncFolder()
   }
@@ -125,7 +125,7 @@
 async function readFileRange (path: string, positionBytes: number, lengthBytes: number): Promise<Uint8Array> {
   const handle = await open(path, 'r')
   try {
-    // Memory of its own: what is read may be kept for long.
+    // Not from the shared buffer pool: the result may be kept for a long time and would keep the whole pool slab in memory.
     const bytes = Buffer.allocUnsafeSlow(lengthBytes)
     let readBytes = 0
     while (readBytes < lengthBytes) {
--- a/src/replication/storage/incomingSnapshot.ts
+++ b/src/replication/storage/incomingSnapshot.ts
@@ -1,8 +1,8 @@
 /**
- * A leader's snapshot on its way to this replica's disk. The parts go into a
- * file of their own as they come, and are read back piece by piece once all are
- * there; a crash on the way leaves the earlier snapshot. A full disk throws a
- * DiskFullError, and the same call may be made again.
+ * A leader's snapshot that is being received. Its chunks are written to a
+ * separate file as they arrive, and the file is read back piece by piece once
+ * it is complete; a crash in between leaves the previous snapshot in place. A
+ * full disk throws a DiskFullError, after which the same call may be repeated.
  */
 import { TEMPORARY_SUFFIX, type Disk, type DiskFile } from './disk.js'
 import { readSnapshotFile, type SnapshotOutcome } from './snapshotFile.js'
@@ -23,7 +23,7 @@
     this._pendingFiles = pendingFiles
   }
 
-  /** @param pendingFiles names of files that must not be taken for leftovers */
+  /** @param pendingFiles names of files that must not be removed as leftovers */
   static async start (disk: Disk, pendingFiles: Set<string>): Promise<IncomingSnapshot> {
     pendingFiles.add(FILE_NAME)
     await disk.remove(FILE_NAME)
@@ -40,8 +40,9 @@
   }
 
   /**
-   * All has come: the snapshot, if it is whole, synced under its own name.
-   * @param mapPiece what is kept of each piece
+   * Called when all chunks have arrived. Syncs and reads the file and, if the
+   * snapshot is valid, renames it to its final name.
+   * @param mapPiece maps each piece to the value that is kept
    */
   async finish (mapPiece: (piece: unknown) => unknown): Promise<SnapshotOutcome> {
     if (!this._isClosed) await this._file.sync()
@@ -49,7 +50,7 @@
     const name = read.kind === 'read' ? snapshotName(read.snapshot.lastIndex) : undefined
     if (name === undefined || this._pendingFiles.has(name)) {
       await this.abandon()
-      return read.kind === 'read' ? { kind: 'damaged', reason: `${name} is being written here` } : read
+      return read.kind === 'read' ? { kind: 'damaged', reason: `another snapshot ${name} is still pending on this replica` } : read
     }
     await this._close()
     await this._publish(name)
@@ -57,7 +58,7 @@
     return read
   }
 
-  /** Another one has begun to come instead. */
+  /** Discards what was received, for example because another snapshot is received instead. */
   async abandon (): Promise<void> {
     await this._close()
     await this._disk.remove(FILE_NAME)
--- a/src/replication/storage/logRecords.ts
+++ b/src/replication/storage/logRecords.ts
@@ -1,9 +1,9 @@
 /**
- * Records of a log file: four bytes of length, a checksum of the
- * body, and the body in CBOR. A file begins with a head that says how far it
- * is known to be synced, and every batch of records begins with the same
- * statement. That is what tells a torn tail, which may be cut, from damage to
- * something that was synced once, which may not.
+ * Records of a log file: a length of four bytes, a checksum of the body, and
+ * the body in CBOR. A file starts with a header that states up to which
+ * position it is known to be synced, and every batch of records starts with a
+ * record that states the same. This distinguishes a torn tail, which may be
+ * truncated, from damage to data that was already synced, which may not.
  */
 import { Decoder, Encoder } from 'cbor-x'
 import type { EntryKind, HardState, LogEntry } from '../log/logEntry.js'
@@ -17,12 +17,12 @@
 }
 
 export type LogRecord =
-  /** The snapshot that the file builds on; its first record. */
+  /** The first record of a file: the snapshot that the file builds on. */
   | { kind: 'base', snapshotIndex: number, snapshotTerm: number }
   | { kind: 'hardState', hardState: HardState }
-  /** An entry replaces whatever the log held from its index on. */
+  /** An entry replaces everything in the log from its index on. */
   | { kind: 'entry', entry: LogEntry }
-  /** Everything before this position had been synced when the batch was written. */
+  /** Everything before this position was synced when the batch was written. */
   | { kind: 'batchStart', syncedBytes: number }
 
 const encoder = new Encoder({ useRecords: false })
@@ -79,16 +79,16 @@
 
 function entryFrom (values: unknown[]): LogEntry {
   const [term, index, kind, atMs, payload] = values as [number, number, EntryKind, number, Uint8Array]
-  // A copy, so that an entry does not keep the whole file in memory.
+  // Copied, so that an entry does not keep the whole file in memory.
   return { term, index, kind, atMs, payload: Uint8Array.from(payload) }
 }
 
-/** The head of a file that is synced up to a position. */
+/** Encodes the header of a file that is synced up to a position. */
 export function encodeHeader (syncedBytes: number): Buffer {
   return Buffer.concat([MAGIC, encodeSyncMark(syncedBytes).bytes])
 }
 
-/** What is written over part of the head after each sync, and where. */
+/** Encodes the sync mark, the part of the header that is overwritten after each sync, and its position. */
 export function encodeSyncMark (syncedBytes: number): { positionBytes: number, bytes: Buffer } {
   const bytes = Buffer.alloc(SYNC_MARK_BYTES + CHECKSUM_BYTES)
   bytes.writeBigUInt64BE(BigInt(syncedBytes), 0)
@@ -100,10 +100,10 @@
   | { kind: 'read', records: LogRecord[], validBytes: number, tornBytes: number }
   | { kind: 'damaged', reason: string }
 
-/** Reads a log file whole. */
+/** Reads the records of a log file. */
 export function readRecords (bytes: Uint8Array): ReadOutcome {
   const file = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength)
-  if (file.length < HEADER_BYTES || !file.subarray(0, MAGIC.length).equals(MAGIC)) return { kind: 'damaged', reason: 'it has no head' }
+  if (file.length < HEADER_BYTES || !file.subarray(0, MAGIC.length).equals(MAGIC)) return { kind: 'damaged', reason: 'its header is missing or malformed' }
   const records: LogRecord[] = []
   let positionBytes = HEADER_BYTES
   for (;;) {
@@ -131,14 +131,14 @@
   return record && { record, endBytes }
 }
 
-/** The mark in the head; 0 when it is torn itself. */
+/** The sync mark in the header; 0 if the mark itself is torn. */
 function readSyncMark (file: Buffer): number {
   const mark = file.subarray(SYNC_MARK_POSITION_BYTES, SYNC_MARK_POSITION_BYTES + SYNC_MARK_BYTES)
   const matches = checksumMatches(file, SYNC_MARK_POSITION_BYTES + SYNC_MARK_BYTES, mark)
   return matches ? Number(mark.readBigUInt64BE(0)) : 0
 }
 
-/** The furthest sync that any batch behind an unreadable place speaks of. */
+/** Highest synced position that any readable batch start after an unreadable position states. */
 function latestBatchStart (file: Buffer, fromBytes: number): number {
   let syncedBytes = 0
   for (let positionBytes = fromBytes + 1; positionBytes + PREFIX_BYTES < file.length; positionBytes++) {
--- a/src/replication/storage/replicaFile.ts
+++ b/src/replication/storage/replicaFile.ts
@@ -1,6 +1,6 @@
 /**
- * The identity of a replica: a random id, made with the data folder and gone
- * with it, and the cluster that the replica belongs to.
+ * The identity of a replica: a random id that is created with the data folder
+ * and lost with it, and the cluster that the replica belongs to.
  */
 import { Decoder, Encoder } from 'cbor-x'
 import { z } from 'zod'
@@ -9,7 +9,7 @@
 export const replicaIdentitySchema = z.object({
   replicaId: z.string(),
   hostId: z.string(),
-  /** Null until the replica has met its cluster. */
+  /** Null until the replica has joined or formed a cluster. */
   clusterId: z.string().nullable()
 })
 export type ReplicaIdentity = z.infer<typeof replicaIdentitySchema>
@@ -25,7 +25,7 @@
   return bytes
 }
 
-/** Undefined when the bytes are damaged. */
+/** Returns undefined if the bytes are damaged. */
 export function decodeIdentity (bytes: Uint8Array): ReplicaIdentity | undefined {
   const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength)
   if (buffer.length <= CHECKSUM_BYTES) return undefined
--- a/src/replication/storage/replicaStorage.ts
+++ b/src/replication/storage/replicaStorage.ts
@@ -1,9 +1,9 @@
 /**
  * The files of one replica: its identity, the current log file and the latest
- * snapshot. Whatever a method has returned from is synced. A failed write or
- * sync throws a StorageError and leaves the storage unusable, because what
- * reached the disk is unknown then; a full disk throws a DiskFullError, and the
- * same call may be made again.
+ * snapshot. When a method returns, its changes are synced. A failed write or
+ * sync throws a StorageError and makes the storage unusable, because it is
+ * unknown what reached the disk. A full disk throws a DiskFullError, after
+ * which the same call may be repeated.
  */
 import { DiskFullError, invariant, StorageError } from '../../utils/errors.js'
 import type { HardState, LogEntry } from '../log/logEntry.js'
@@ -19,11 +19,11 @@
 export interface OpenedReplica {
   storage: ReplicaStorage
   loaded: LoadedReplica
-  /** Why an earlier replica's files were set aside; the replica is a new one then. */
+  /** Why the files of an earlier replica were moved aside and a new replica was created; undefined if they were not. */
   damage: string | undefined
 }
 
-/** A snapshot that lies on the disk, with everything that follows on it. */
+/** A snapshot that is on disk, with the log entries after it. */
 export interface Compaction {
   snapshot: WrittenSnapshot
   hardState: HardState
@@ -31,7 +31,7 @@
 }
 
 export interface StorageOptions {
-  /** False only to measure what syncing costs. */
+  /** False only in benchmarks that measure the cost of syncing. */
   syncs: boolean
 }
 
@@ -43,7 +43,7 @@
   private _logSequence: number
   private _logBytes: number
   private _snapshot: WrittenSnapshot | undefined
-  /** Files that the log does not build on yet: being written, or waiting to be its base. */
+  /** Snapshot files that the log does not build on yet, because they are being written or wait to become its base. */
   private readonly _pendingFiles = new Set<string>()
   private _failed = false
 
@@ -58,9 +58,9 @@
   }
 
   /**
-   * Opens the replica of a host, and makes one if the disk holds none. Files
-   * that are damaged are set aside, and the host gets a new replica, which
-   * has to join as any other new one.
+   * Opens the replica of a host, or creates one if the disk holds none. If its
+   * files are damaged, they are moved aside and a new replica is created, which
+   * has to join like any other new one.
    * @throws StorageError if the disk belongs to another host.
    */
   static async open (disk: Disk, hostId: string, newId: () => string, options: StorageOptions = { syncs: true }): Promise<OpenedReplica> {
@@ -92,9 +92,9 @@
     return this._identity
   }
 
-  /** Binds the replica to its cluster for good. */
+  /** Binds the replica permanently to its cluster. */
   async adoptCluster (clusterId: string): Promise<void> {
-    invariant(this._identity.clusterId === null, 'a replica belongs to one cluster')
+    invariant(this._identity.clusterId === null, `the replica already belongs to cluster ${this._identity.clusterId}`)
     const identity = { ...this._identity, clusterId }
     await this._failOnError(() => writeAtomically(this._disk, IDENTITY_FILE, encodeIdentity(identity)))
     this._identity = identity
@@ -104,7 +104,7 @@
   async append (records: LogRecord[]): Promise<void> {
     const batch = Buffer.concat([{ kind: 'batchStart', syncedBytes: this._logBytes } as const, ...records].map(encodeRecord))
     await this._failOnError(async () => {
-      // At its place, not at the end of the file: a batch that a full disk refused may have left a piece there.
+      // Written at its position, not appended: a batch that failed on a full disk may have left part of itself at the end of the file.
       await this._log.writeAt(this._logBytes, batch)
       if (this._options.syncs) await this._log.sync()
       this._logBytes += batch.length
@@ -112,7 +112,7 @@
     })
   }
 
-  /** Not synced itself: it outlives the process, and a loss of power, or a disk that is full by now, only makes it older. */
+  /** Writes the sync mark without syncing it: it survives the end of the process, and after a power loss or on a full disk it is only older. */
   private async _writeMark (): Promise<void> {
     const mark = encodeSyncMark(this._logBytes)
     try {
@@ -123,9 +123,10 @@
   }
 
   /**
-   * Writes a snapshot beside the one that the log builds on, while the log goes
-   * on being written. It takes effect by `compact`; until then a start finds
-   * the earlier one. Undefined when a snapshot of the same entry is on its way.
+   * Writes a snapshot next to the one that the log builds on, while the log
+   * continues to be written. It takes effect with `compact`; until then, a
+   * restart loads the earlier one. Returns undefined if another snapshot at the
+   * same entry is pending.
    */
   async writeSnapshot (header: SnapshotHeader, pieces: SnapshotPieces): Promise<WrittenSnapshot | undefined> {
     const name = snapshotName(header.lastIndex)
@@ -140,19 +141,19 @@
     }
   }
 
-  /** Gives up a snapshot that will not become the base of the log. */
+  /** Removes a snapshot that will not become the base of the log. */
   async discardSnapshot ({ lastIndex }: WrittenSnapshot): Promise<void> {
     const name = snapshotName(lastIndex)
     this._pendingFiles.delete(name)
     if (lastIndex !== this._snapshot?.lastIndex) await this._failOnError(() => this._disk.remove(name))
   }
 
-  /** Begins to take in a leader's snapshot; what was taken in of another one is dropped. */
+  /** Starts to receive a leader's snapshot; a partly received one is dropped. */
   async receiveSnapshot (): Promise<IncomingSnapshot> {
     return await this._failOnError(() => IncomingSnapshot.start(this._disk, this._pendingFiles))
   }
 
-  /** Replaces snapshot and log in one step: after a crash there is the old pair or the new one. */
+  /** Replaces snapshot and log atomically: after a crash, either the old or the new pair is in place. */
   async compact (compaction: Compaction): Promise<void> {
     await this._failOnError(async () => {
       const { snapshot, hardState, entries } = compaction
@@ -180,7 +181,7 @@
     return this._snapshot
   }
 
-  /** A part of a snapshot as it lies on disk; undefined when a later one has replaced it. */
+  /** Bytes of a snapshot file; undefined if a later snapshot has replaced it. */
   async readSnapshotChunk ({ lastIndex }: WrittenSnapshot, positionBytes: number, lengthBytes: number): Promise<Uint8Array | undefined> {
     return await this._disk.readRange(snapshotName(lastIndex), positionBytes, lengthBytes)
   }
@@ -190,11 +191,11 @@
   }
 
   private async _failOnError<T> (work: () => Promise<T>): Promise<T> {
-    if (this._failed) throw new StorageError('the storage has failed before')
+    if (this._failed) throw new StorageError('the storage is unusable after an earlier write or sync error')
     try {
       return await work()
     } catch (error) {
-      // A full disk has refused the write; whatever part of it arrived lies behind the end of the log and is written over.
+      // On a full disk, the part of the write that succeeded is after the end of the log and is overwritten later.
       if (!(error instanceof DiskFullError)) this._failed = true
       throw error
     }
@@ -206,18 +207,18 @@
     await this._log.sync()
   }
 
-  /** Older logs and snapshots, and files that were being written. */
+  /** Removes older logs and snapshots, and files whose writing was interrupted. */
   private async _removeLeftovers (): Promise<void> {
     const kept = [IDENTITY_FILE, logName(this._logSequence), snapshotName(this._snapshot?.lastIndex ?? 0)]
     for (const name of await this._disk.list()) {
       const isOurs = name.startsWith('log-') || name.startsWith('snapshot-') || name.endsWith(TEMPORARY_SUFFIX)
-      // Files become pending while others are removed.
+      // Checked for each file, because files may become pending during the removals.
       if (isOurs && !kept.includes(name) && !this._pendingFiles.has(name)) await this._disk.remove(name)
     }
   }
 }
 
-/** The identity comes last: a folder with one has a log. */
+/** Creates the files of a new replica. The identity is written last, so that a folder with an identity always has a log. */
 async function createReplica (disk: Disk, hostId: string, replicaId: string): Promise<LoadedReplica> {
   const logSequence = (latestLogSequence(await disk.list()) ?? 0) + 1
   const content = logContent([{ kind: 'base', snapshotIndex: 0, snapshotTerm: 0 }])
--- a/src/replication/storage/snapshotFile.ts
+++ b/src/replication/storage/snapshotFile.ts
@@ -1,10 +1,11 @@
 /**
- * A snapshot: the replicated state after an entry, with the members at that
- * point. Frames of a length, a checksum and CBOR, the same on disk and on the
- * wire: a head, the pieces of the state one by one, and an end that counts
- * them. Writing and reading hold one piece at a time, whatever the size of the
- * state: a state encoded as one value took two and a half times its own size
- * again for as long as the writing lasted, at every replica at once.
+ * Snapshot files: the replicated state after an entry, with the members at that
+ * point. A file is a sequence of frames, each a length, a checksum and a CBOR
+ * value, in the same format on disk and on the wire: a header, the pieces of
+ * the state, and a footer with their count. Writing and reading hold one piece
+ * in memory at a time, whatever the size of the state. Encoding the state as a
+ * single value took another two and a half times its size during the write, on
+ * all replicas at the same time.
  */
 import { Decoder, Encoder } from 'cbor-x'
 import { setImmediate as nextTurn } from 'node:timers/promises'
@@ -18,13 +19,13 @@
 const headerSchema = z.object({
   lastIndex: z.int(),
   lastTerm: z.int(),
-  /** Wall clock of the entry at lastIndex, which later entries do not go behind. */
+  /** Leader's wall clock of the entry at lastIndex; later entries have no earlier time. */
   lastAtMs: z.number(),
   members: z.array(memberSchema)
 })
 export type SnapshotHeader = z.infer<typeof headerSchema>
 
-/** A snapshot as it was read: the pieces go to the state. */
+/** A snapshot that was read from disk; its pieces are passed to the state. */
 export interface Snapshot extends SnapshotHeader {
   pieces: unknown[]
   /** Length of its file. */
@@ -35,23 +36,23 @@
 
 const LENGTH_BYTES = 4
 const PREFIX_BYTES = LENGTH_BYTES + CHECKSUM_BYTES
-/** No frame is larger; a length beyond it is damage. */
+/** Maximum frame size; a larger length means that the file is damaged. */
 const MAX_FRAME_BYTES = 64 * 1024 * 1024
 
 const encoder = new Encoder({ useRecords: false })
 const decoder = new Decoder({ useRecords: false })
 
-/** The body is a view into the encoder's buffer: what is copied here is garbage that lasts until the next collection. */
+/** Returns prefix and body separately: the body is a view into the encoder's buffer, and a copy would only be garbage until the next collection. */
 function encodeFrame (value: unknown): { prefix: Buffer, body: Buffer } {
   const body = encoder.encode(value)
-  invariant(body.length <= MAX_FRAME_BYTES, `a piece of a snapshot takes ${body.length} bytes`)
+  invariant(body.length <= MAX_FRAME_BYTES, `a piece of the snapshot takes ${body.length} bytes; the limit is ${MAX_FRAME_BYTES}`)
   const prefix = Buffer.alloc(PREFIX_BYTES)
   prefix.writeUInt32BE(body.length, 0)
   writeChecksum(prefix, LENGTH_BYTES, body)
   return { prefix, body }
 }
 
-/** A snapshot that lies on the disk whole. */
+/** A snapshot that is completely on disk. */
 export interface WrittenSnapshot {
   lastIndex: number
   lastTerm: number
@@ -60,8 +61,8 @@
 }
 
 /**
- * Writes a snapshot so that its file is either whole or absent, also after a
- * loss of power; other tasks get their turn after every write.
+ * Writes a snapshot so that its file is either complete or absent, even after a
+ * power loss. Yields to the event loop after every piece.
  */
 export async function writeSnapshotFile (disk: Disk, name: string, header: SnapshotHeader, pieces: SnapshotPieces): Promise<WrittenSnapshot> {
   const temporaryName = `${name}${TEMPORARY_SUFFIX}`
@@ -72,7 +73,7 @@
   return { lastIndex: header.lastIndex, lastTerm: header.lastTerm, lengthBytes }
 }
 
-/** What a full disk has refused is taken away again, so that the log has the room. */
+/** Removes the file if writing fails, so that on a full disk the space is available to the log. */
 async function writeTemporary (disk: Disk, name: string, header: SnapshotHeader, pieces: SnapshotPieces): Promise<number> {
   const file = await disk.open(name)
   try {
@@ -113,7 +114,7 @@
 
 /**
  * Reads a snapshot file frame by frame.
- * @param mapPiece what is kept of a piece that was read
+ * @param mapPiece maps each piece that was read to the value that is kept
  */
 export async function readSnapshotFile (disk: Disk, name: string, mapPiece = (piece: unknown): unknown => piece): Promise<SnapshotOutcome> {
   const values: unknown[] = []
@@ -123,7 +124,7 @@
     if (frame.kind === 'ended' && positionBytes === 0) return { kind: 'absent' }
     if (frame.kind === 'ended') break
     if (frame.kind === 'damaged') return frame
-    // The head is the first value.
+    // The first value is the header.
     values.push(positionBytes === 0 ? frame.value : mapPiece(frame.value))
     positionBytes = frame.endBytes
     await nextTurn()
@@ -134,9 +135,9 @@
 function snapshotOf (values: unknown[], lengthBytes: number): SnapshotOutcome {
   const header = headerSchema.safeParse(values[0])
   const footer = footerSchema.safeParse(values.at(-1))
-  if (!header.success || values.length < 2) return { kind: 'damaged', reason: 'its head is malformed' }
+  if (!header.success || values.length < 2) return { kind: 'damaged', reason: 'its header is malformed' }
   const pieces = values.slice(1, -1)
-  if (!footer.success || footer.data.piecesCount !== pieces.length) return { kind: 'damaged', reason: 'its end is missing' }
+  if (!footer.success || footer.data.piecesCount !== pieces.length) return { kind: 'damaged', reason: 'its footer is missing or has a wrong count of pieces' }
   return { kind: 'read', snapshot: { ...header.data, pieces, lengthBytes } }
 }
 
@@ -145,15 +146,15 @@
 async function readFrame (disk: Disk, name: string, positionBytes: number): Promise<FrameOutcome> {
   const prefix = await disk.readRange(name, positionBytes, PREFIX_BYTES)
   if (!prefix || prefix.length === 0) return { kind: 'ended' }
-  const truncated: FrameOutcome = { kind: 'damaged', reason: `the frame at byte ${positionBytes} is cut short` }
+  const truncated: FrameOutcome = { kind: 'damaged', reason: `the frame at byte ${positionBytes} is truncated` }
   if (prefix.length < PREFIX_BYTES) return truncated
   const prefixBuffer = Buffer.from(prefix.buffer, prefix.byteOffset, prefix.byteLength)
   const lengthBytes = prefixBuffer.readUInt32BE(0)
-  if (lengthBytes > MAX_FRAME_BYTES) return { kind: 'damaged', reason: `the frame at byte ${positionBytes} has an impossible length` }
+  if (lengthBytes > MAX_FRAME_BYTES) return { kind: 'damaged', reason: `the frame at byte ${positionBytes} has an invalid length of ${lengthBytes} bytes` }
   const body = await disk.readRange(name, positionBytes + PREFIX_BYTES, lengthBytes)
   if (!body || body.length < lengthBytes) return truncated
   if (!checksumMatches(prefixBuffer, LENGTH_BYTES, body)) return { kind: 'damaged', reason: `its checksum does not match at byte ${positionBytes}` }
-  // Byte arrays of the value are views into the frame, which belongs to them.
+  // Byte arrays in the value are views into the frame's buffer, which nothing else uses.
   const value: unknown = decoder.decode(new Uint8Array(body.buffer, body.byteOffset, body.byteLength))
   return { kind: 'read', value, endBytes: positionBytes + PREFIX_BYTES + lengthBytes }
 }
--- a/src/replication/storage/storageLoader.ts
+++ b/src/replication/storage/storageLoader.ts
@@ -1,7 +1,7 @@
 /**
- * Reads what a replica left on its disk, and says what is wrong with it.
- * Damage to anything that was synced once is never repaired by guessing: the
- * replica would forget votes or entries that others rely on.
+ * Loads the files of a replica and detects damage. Damage to data that was
+ * synced is never repaired by guessing, because the replica could lose votes or
+ * entries that others rely on.
  */
 import { invariant } from '../../utils/errors.js'
 import type { HardState, LogEntry } from '../log/logEntry.js'
@@ -23,18 +23,18 @@
   return `snapshot-${String(lastIndex).padStart(16, '0')}`
 }
 
-/** Everything that a replica relies on after a restart. */
+/** Everything that a replica restores after a restart. */
 export interface LoadedReplica {
   identity: ReplicaIdentity
   hardState: HardState
   snapshot: Snapshot | undefined
-  /** Of the snapshot as it lies on disk. */
+  /** Length of the snapshot file. */
   snapshotLengthBytes: number
-  /** Consecutive, the first one at most one after the snapshot. */
+  /** Consecutive; the first index is at most one after the snapshot's last. */
   entries: LogEntry[]
   logSequence: number
   logBytes: number
-  /** Bytes of a write that never ended, to be cut. */
+  /** Bytes of an incomplete write at the end of the log, to be truncated. */
   tornBytes: number
 }
 
@@ -48,12 +48,12 @@
   const identityBytes = await disk.read(IDENTITY_FILE)
   if (!identityBytes) {
     const isEmpty = !names.some(name => logNamePattern.test(name) || snapshotNamePattern.test(name))
-    return isEmpty ? { kind: 'empty' } : { kind: 'damaged', reason: 'there are log files, but no identity' }
+    return isEmpty ? { kind: 'empty' } : { kind: 'damaged', reason: `there are log or snapshot files, but no identity file ${IDENTITY_FILE}` }
   }
   const identity = decodeIdentity(identityBytes)
   if (!identity) return { kind: 'damaged', reason: `${IDENTITY_FILE}: its checksum does not match` }
   const logSequence = latestLogSequence(names)
-  if (logSequence === undefined) return { kind: 'damaged', reason: 'there is an identity, but no log file' }
+  if (logSequence === undefined) return { kind: 'damaged', reason: `there is an identity file ${IDENTITY_FILE}, but no log file` }
   return await loadLog(disk, identity, logSequence)
 }
 
@@ -65,7 +65,7 @@
 async function loadLog (disk: Disk, identity: ReplicaIdentity, logSequence: number): Promise<LoadOutcome> {
   const name = logName(logSequence)
   const bytes = await disk.read(name)
-  invariant(bytes, `${name} was listed but cannot be read`)
+  invariant(bytes, `${name} is in the file list but does not exist`)
   const read = readRecords(bytes)
   if (read.kind === 'damaged') return { kind: 'damaged', reason: `${name}: ${read.reason}` }
   const replayed = replay(read.records)
@@ -97,13 +97,13 @@
   | { kind: 'replayed', snapshotIndex: number, hardState: HardState, entries: LogEntry[] }
   | { kind: 'damaged', reason: string }
 
-/** Plays the records of a file in order; an entry replaces those from its index on. */
+/** Replays the records of a file in order; an entry replaces those from its index on. */
 function replay (records: LogRecord[]): ReplayOutcome {
   const base = records[0]
   if (base?.kind !== 'base') return { kind: 'damaged', reason: 'its first record is unreadable' }
   const hardState = records.findLast(record => record.kind === 'hardState')?.hardState ?? { term: 0, votedFor: null }
   const { entries, outOfOrder: outOfOrder } = replayEntries(records)
-  if (outOfOrder) return { kind: 'damaged', reason: `entry ${outOfOrder.index} does not follow on the one before` }
+  if (outOfOrder) return { kind: 'damaged', reason: `entry ${outOfOrder.index} does not follow the previous one` }
   const firstIndex = entries[0]?.index ?? base.snapshotIndex + 1
   if (firstIndex > base.snapshotIndex + 1) return { kind: 'damaged', reason: `entries ${base.snapshotIndex + 1} to ${firstIndex - 1} are missing` }
   return { kind: 'replayed', snapshotIndex: base.snapshotIndex, hardState, entries }
