--- a/src/replication/log/following.ts
+++ b/src/replication/log/following.ts
@@ -16,7 +16,7 @@
 /** Pause before a snapshot chunk that did not fit on a full disk is requested again; well below the leader's call timeout of 1 s. */
 const DISK_FULL_PAUSE_MS = 300
 
-export class Following {
+export class Follower {
   private readonly _core: ReplicaCore
   private readonly _applier: LogApplier
   private readonly _scope: Scope
--- a/src/replication/log/replica.ts
+++ b/src/replication/log/replica.ts
@@ -17,7 +17,7 @@
 import type { ReplicatedState } from '../replicatedState.js'
 import type { OpenedReplica } from '../storage/replicaStorage.js'
 import { DurableWriter } from './durableWriter.js'
-import { Following } from './following.js'
+import { Follower } from './following.js'
 import { Handover } from './handover.js'
 import { Leadership } from './leadership.js'
 import { JoinRefusals } from './joinRefusals.js'
@@ -77,7 +77,7 @@
   private readonly _scope: Scope
   private readonly _applier: LogApplier
   private readonly _proposals = new Proposals()
-  private readonly _following: Following
+  private readonly _follower: Follower
   private readonly _voting: Voting
   private readonly _joinRefusals: JoinRefusals
   private readonly _startReport: StartReport
@@ -104,7 +104,7 @@
     this.core = new ReplicaCore({ clock, random, metrics, logger, timings, storage: opened.storage, state, startedAtMs }, snapshot?.lastIndex ?? 0)
     this.links = new PeerLinks(options.transport, this._scope, options.onFatal)
     this._applier = new LogApplier(this.core, options.state, this._proposals, options.snapshotPolicy, options.observer)
-    this._following = new Following(this.core, this._applier, this._scope)
+    this._follower = new Follower(this.core, this._applier, this._scope)
     this._voting = new Voting(this.core, this.links, this._scope)
     this._joinRefusals = new JoinRefusals(clock, logger)
     this._startReport = new StartReport(this, opened.loaded, { readMs: options.readMs, restoreMs })
@@ -129,9 +129,9 @@
   /** Registers the methods that other replicas call; call this before the listener opens. */
   serve (handlers: RpcHandlers): void {
     handlers.on(voteMethod, request => this._voting.onVote(request))
-    handlers.on(appendMethod, request => this._following.onAppend(request))
-    handlers.on(heartbeatMethod, request => this._following.onHeartbeat(request))
-    handlers.on(snapshotMethod, request => this._following.onSnapshot(request))
+    handlers.on(appendMethod, request => this._follower.onAppend(request))
+    handlers.on(heartbeatMethod, request => this._follower.onHeartbeat(request))
+    handlers.on(snapshotMethod, request => this._follower.onSnapshot(request))
     handlers.on(campaignMethod, request => this._onCampaign(request))
   }
 
--- a/src/transport/batchMethods.ts
+++ b/src/transport/batchMethods.ts
@@ -1,6 +1,6 @@
 /**
- * The calls of entry hosts to the leader of the batch store, and of a store
- * host that wants to become a member.
+ * RPC methods of the batch store: called by entry hosts on its leader, by
+ * control hosts, and by store hosts among each other.
  */
 import { z } from 'zod'
 import { batchSubmissionSchema, itemResultSchema } from '../protocol/batches.js'
@@ -8,21 +8,21 @@
 import { rpcMethod } from './rpcPeer.js'
 
 const notLeader = z.object({ kind: z.literal('notLeader'), leaderAddress: z.string().optional() })
-/** Nothing is known to have happened; the caller may ask again. */
+/** The outcome is unknown or nothing happened; the caller may retry. */
 const unavailable = z.object({ kind: z.literal('unavailable'), reason: z.string() })
 const unknownBatch = z.object({ kind: z.literal('unknownBatch') })
 
 export const submitBatchReplySchema = z.discriminatedUnion('kind', [
-  /** On the disks of a quorum. */
+  /** The batch is on the disks of a quorum. */
   z.object({ kind: z.literal('accepted') }),
-  /** None of it will run. */
+  /** No part of the batch will run. */
   z.object({
     kind: z.literal('refused'),
     reason: z.string(),
-    /** The leader will not take it for the moment: asking again at once is in vain. */
+    /** The leader does not accept the batch for now, and an immediate retry would be refused too. */
     isFinal: z.boolean().optional()
   }),
-  /** It may have been taken. */
+  /** The batch may have been accepted. */
   z.object({ kind: z.literal('unknown'), reason: z.string() }),
   notLeader
 ])
@@ -34,7 +34,7 @@
     totalCount: z.int(),
     nextPosition: z.int(),
     results: z.array(itemResultSchema),
-    /** Nothing will be listed any more that a reader has to wait for. */
+    /** No further results will be listed that a reader has to wait for. */
     isEnded: z.boolean()
   }),
   unknownBatch,
@@ -45,7 +45,7 @@
 
 export const readItemReplySchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('body'), body: z.instanceof(Uint8Array) }),
-  /** The batch or the item is not known, is listed, or has ended. */
+  /** The batch or the item is unknown, has been listed, or has ended. */
   z.object({ kind: z.literal('absent') }),
   unavailable,
   notLeader
@@ -61,7 +61,7 @@
 export type EndBatchReply = z.infer<typeof endBatchReplySchema>
 
 export const batchReadIndexReplySchema = z.discriminatedUnion('kind', [
-  /** Whoever has applied the log up to the index reads nothing out of date. */
+  /** A replica that has applied the log up to the index returns no stale data. */
   z.object({ kind: z.literal('confirmed'), index: z.int() }),
   unavailable,
   notLeader
@@ -74,29 +74,29 @@
 ])
 
 export const submitBatchMethod = rpcMethod('batch.submit', z.object({ submission: batchSubmissionSchema }), submitBatchReplySchema)
-/** The client account in whose name a batch is asked for: what belongs to another one is not known to it. */
+/** The client account that makes the request; batches of other accounts are unknown to it. */
 const account = z.string().optional()
 
 export const readResultsMethod = rpcMethod('batch.results', z.object({
   batchId: z.string(),
   account,
   fromPosition: z.int().min(0),
-  /** How long to wait until there is a result at the position. */
+  /** How long to wait for a result at the position. */
   waitMs: z.number().min(0)
 }), readResultsReplySchema)
 export const readItemMethod = rpcMethod('batch.item', z.object({ batchId: z.string(), account, itemId: z.string() }), readItemReplySchema)
 export const endBatchMethod = rpcMethod('batch.end', z.object({ batchId: z.string(), account }), endBatchReplySchema)
-/** Between replicas of the store: lets one that does not lead answer a read. */
+/** Called between replicas of the store, so that one that does not lead can answer a read. */
 export const batchReadIndexMethod = rpcMethod('batch.readIndex', z.object({}), batchReadIndexReplySchema)
 export const nameWeightsReplySchema = z.discriminatedUnion('kind', [
-  /** On the disks of a quorum. */
+  /** The named weights are on the disks of a quorum. */
   z.object({ kind: z.literal('committed') }),
   unavailable,
   notLeader
 ])
 export type NameWeightsReply = z.infer<typeof nameWeightsReplySchema>
 
-/** From a control host: a trainer named a version. */
+/** Called by a control host when a trainer has named a weight version. */
 export const nameWeightsMethod = rpcMethod('batch.nameWeights', namedWeightsSchema, nameWeightsReplySchema)
 export const joinStoreMethod = rpcMethod('store.join', z.object({
   replicaId: z.string(),
--- a/src/transport/connection.ts
+++ b/src/transport/connection.ts
@@ -1,14 +1,14 @@
 /**
- * What the system's own processes speak over: an open connection on which
- * messages keep their order and their borders. TCP with length-prefixed CBOR
- * carries it in production, memory in tests.
+ * Message connections between the system's own processes. A connection
+ * preserves the order and the boundaries of messages. Production uses TCP with
+ * length-prefixed CBOR, tests use memory.
  */
 import type { Scope } from '../utils/scope.js'
 
-/** A message for many connections, which is encoded once. */
+/** A message that is sent over many connections and encoded once. */
 export class SharedMessage {
   readonly message: unknown
-  /** Kept by the transport. */
+  /** Encoded form, cached by the transport. */
   encoded: Buffer | undefined
 
   constructor (message: unknown) {
@@ -17,9 +17,9 @@
 }
 
 export interface Connection {
-  /** Closes with the connection; awaits for the other side race against it. */
+  /** Closes with the connection; anything that waits for the peer must race against it. */
   readonly scope: Scope
-  /** Queues a message; the connection closes if the other side does not keep up. */
+  /** Queues a message; the connection closes if the peer does not keep up. */
   send (message: unknown): void
   sendShared (shared: SharedMessage): void
   onMessage (listener: (message: unknown) => void): void
--- a/src/transport/controlMethods.ts
+++ b/src/transport/controlMethods.ts
@@ -1,5 +1,5 @@
 /**
- * The calls between entry hosts and control hosts.
+ * RPC methods between entry hosts and control hosts.
  */
 import { z } from 'zod'
 import {
@@ -12,7 +12,7 @@
 export const submitMethod = rpcMethod('control.submit', submitRequestSchema, submitReplySchema)
 export const queryMethod = rpcMethod('control.query', queryRequestSchema, queryReplySchema)
 export const renewMethod = rpcMethod('control.renew', renewRequestSchema, renewReplySchema)
-/** The index that a host which does not lead has to have applied before it answers a read. */
+/** Returns the index that a host that does not lead must have applied before it answers a read. */
 export const readIndexMethod = rpcMethod('control.readIndex', z.object({}), readIndexReplySchema)
-/** From the leader to entry hosts, one-way. */
+/** Sent by the leader to entry hosts, one-way. */
 export const changesMethod = rpcMethod('control.changes', changesNoticeSchema, z.void())
--- a/src/transport/fleetMethods.ts
+++ b/src/transport/fleetMethods.ts
@@ -1,11 +1,11 @@
 /**
- * The calls between control hosts and the hosts that follow them.
+ * RPC methods between control hosts and the hosts that follow them.
  */
 import { z } from 'zod'
 import { fleetUpdateSchema, followReplySchema, followRequestSchema } from '../protocol/fleet.js'
 import { rpcMethod } from './rpcPeer.js'
 
-/** Repeated by the follower; doubles as its heartbeat. */
+/** Called repeatedly by the follower; also serves as its heartbeat. */
 export const followMethod = rpcMethod('fleet.follow', followRequestSchema, followReplySchema)
-/** From a control host to its followers, as things change. The reply says that it is in force there. */
+/** Called by a control host on its followers when the fleet changes. The reply confirms that the update is in effect at the follower. */
 export const fleetUpdateMethod = rpcMethod('fleet.update', fleetUpdateSchema, z.object({}))
--- a/src/transport/memoryTransport.ts
+++ b/src/transport/memoryTransport.ts
@@ -1,34 +1,34 @@
 /**
- * Connections in memory, for tests and benchmarks: messages are copied as the
- * codec would, and delivered by the clock that is passed in.
+ * In-memory connections for tests and benchmarks. Messages are encoded and
+ * decoded as on the wire, and delivered on the clock that is passed in.
  */
 import { decode, encode } from 'cbor-x'
 import type { Clock } from '../utils/clock.js'
 import type { Scope } from '../utils/scope.js'
 import type { Connection, ConnectOutcome, Listener, SharedMessage, Transport } from './connection.js'
 
-/** What happens to one message; undefined loses it. */
-export type DelayMs = (from: string, to: string) => number | undefined
+/** Delay of one message between two hosts; undefined drops the message. */
+export type MessageDelay = (from: string, to: string) => number | undefined
 
 interface RegisteredListener {
   scope: Scope
   onConnection: (connection: Connection) => void
 }
 
-/** Addresses and the connections between them, shared by the hosts of a test. */
+/** The listeners and connections of all hosts of a test. */
 export class MemoryNetwork {
   private readonly _clock: Clock
-  private readonly _delayMs: DelayMs
+  private readonly _messageDelay: MessageDelay
   private readonly _listeners = new Map<string, RegisteredListener>()
   private readonly _connections = new Set<MemoryConnection>()
   private readonly _cuts = new Set<string>()
 
-  constructor (clock: Clock, delayMs: DelayMs = () => 0) {
+  constructor (clock: Clock, delayMs: MessageDelay = () => 0) {
     this._clock = clock
-    this._delayMs = delayMs
+    this._messageDelay = delayMs
   }
 
-  /** The transport of one host, known by its IP number. */
+  /** The transport of one host, identified by its IP address. */
   host (localHost: string): Transport {
     return {
       connect: async (address, scope) => this._connect(localHost, address, scope),
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Loses in silence whatever goes between two hosts, both ways. */
+  /** Silently drops all messages between two hosts, in both directions. */
   cut (hostA: string, hostB: string): void {
     this._cuts.add(`${hostA}|${hostB}`)
     this._cuts.add(`${hostB}|${hostA}`)
@@ -46,7 +46,7 @@
     this._cuts.clear()
   }
 
-  /** Breaks every connection of a host, as its process ending does. */
+  /** Closes every connection of a host, as when its process ends. */
   reset (host: string): void {
     for (const connection of [...this._connections]) {
       if (connection.involves(host)) connection.close('reset')
@@ -85,9 +85,9 @@
   private _createDeliver (): Deliver {
     let lastAtMs = 0
     return (from, to, deliver) => {
-      const delayMs = this._isCut(from, to) ? undefined : this._delayMs(from, to)
+      const delayMs = this._isCut(from, to) ? undefined : this._messageDelay(from, to)
       if (delayMs === undefined) return
-      // A connection keeps the order of its messages.
+      // Never earlier than the previous message, to preserve the order on the connection.
       lastAtMs = Math.max(lastAtMs, this._clock.nowMs() + delayMs)
       this._clock.callAt(lastAtMs, deliver)
     }
--- a/src/transport/peerLink.ts
+++ b/src/transport/peerLink.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to one address over a connection that is opened when it is needed
- * and replaced when it is lost, or when calls over it go unanswered.
+ * Calls to one address over a connection that is opened on demand and replaced
+ * when it is lost or when calls over it are not answered.
  */
 import type { Clock } from '../utils/clock.js'
 import { ScopeClosedError } from '../utils/errors.js'
@@ -9,7 +9,7 @@
 import type { ConnectOutcome, Transport } from './connection.js'
 import { RpcPeer, type CallOutcome, type RpcHandlers, type RpcMethod } from './rpcPeer.js'
 
-/** A connection is given up after so many calls in a row that got no reply in time. */
+/** Consecutive calls without a timely reply after which a connection is closed. */
 const MAX_UNANSWERED_COUNT = 3
 
 const CONNECT_TIMEOUT_MS = 2_000
@@ -50,7 +50,7 @@
 
   private async _connect (clock: Clock): Promise<RpcPeer | undefined> {
     const scope = this._scope.child(`link to ${this.address}`)
-    const cancelTimer = clock.callAt(clock.nowMs() + CONNECT_TIMEOUT_MS, () => scope.close('connecting takes too long'))
+    const cancelTimer = clock.callAt(clock.nowMs() + CONNECT_TIMEOUT_MS, () => scope.close(`no connection within ${CONNECT_TIMEOUT_MS} ms`))
     const outcome = await this._connectWithin(scope)
     cancelTimer()
     if (outcome.kind === 'unreachable') {
@@ -74,6 +74,6 @@
 
   private _countUnanswered (peer: RpcPeer, isLost: boolean): void {
     this._unansweredCount = isLost ? this._unansweredCount + 1 : 0
-    if (this._unansweredCount >= MAX_UNANSWERED_COUNT) peer.connection.close('calls go unanswered')
+    if (this._unansweredCount >= MAX_UNANSWERED_COUNT) peer.connection.close(`no reply to ${MAX_UNANSWERED_COUNT} calls in a row`)
   }
 }
--- a/src/transport/rpcPeer.ts
+++ b/src/transport/rpcPeer.ts
@@ -1,7 +1,7 @@
 /**
- * Calls over a connection: typed requests with one reply each, and one-way
- * notices. Either side may call the other. The body of a call is checked
- * against the schema of its method before the handler sees it.
+ * RPC over a connection: typed requests with one reply each, and one-way
+ * notifications. Either side may call the other. The body of a call is
+ * validated against the schema of its method before the handler is called.
  */
 import { z } from 'zod'
 import { ScopeClosedError } from '../utils/errors.js'
@@ -36,12 +36,12 @@
 
 export type CallOutcome<T> =
   | { kind: 'replied', body: T }
-  /** The other side does not serve the method, or found the body malformed: nothing ran. */
+  /** There is no connection, or the peer does not serve the method or found the body malformed: nothing was executed. */
   | { kind: 'unserved', reason: string }
-  /** It may or may not have run. */
+  /** The call may or may not have been executed. */
   | { kind: 'lost', reason: string }
 
-/** @param remainingMs time the caller still waits for the reply */
+/** @param remainingMs how long the caller still waits for the reply */
 export type Handler<Request, Reply> = (request: Request, remainingMs: number) => Promise<Reply> | Reply
 
 interface RegisteredHandler {
@@ -49,7 +49,7 @@
   handler: Handler<unknown, unknown>
 }
 
-/** The methods that one side serves; shared by all its connections. */
+/** The methods that one side serves; may be shared by its connections. */
 export class RpcHandlers {
   private readonly _handlers = new Map<string, RegisteredHandler>()
 
@@ -72,7 +72,7 @@
   private readonly _pendingCalls = new Map<number, (outcome: CallOutcome<unknown>) => void>()
   private _nextId = 1
 
-  /** @param onFatal called when a handler throws: a broken invariant, not an outcome */
+  /** @param onFatal called when a handler throws, which indicates a violated invariant, not an outcome of the call */
   constructor (connection: Connection, handlers: RpcHandlers, onFatal: (error: unknown) => void) {
     this.connection = connection
     this._handlers = handlers
@@ -81,7 +81,7 @@
     connection.scope.onClose(() => this._failPendingCalls())
   }
 
-  /** Calls a method; the deadline of the progress bounds the wait. */
+  /** Calls a method and waits for the reply until the deadline of the progress. */
   async call<Request, Reply> (method: RpcMethod<Request, Reply>, body: Request, progress: Progress): Promise<CallOutcome<Reply>> {
     if (this.connection.scope.isClosed) return { kind: 'unserved', reason: 'not connected' }
     const id = this._nextId++
@@ -96,12 +96,12 @@
     }
   }
 
-  /** Sends a one-way message; it may be lost with the connection. */
+  /** Sends a one-way notification, which may be lost with the connection. */
   notify<Request> (method: RpcMethod<Request, unknown>, body: Request): void {
     this.connection.send({ kind: FrameKind.Notice, method: method.name, body })
   }
 
-  /** The same one-way message to many; it is encoded once. */
+  /** Sends the same one-way notification to many peers; it is encoded once. */
   static notifyAll<Request> (peers: Iterable<RpcPeer>, method: RpcMethod<Request, unknown>, body: Request): void {
     const shared = new SharedMessage({ kind: FrameKind.Notice, method: method.name, body })
     for (const { connection } of peers) connection.sendShared(shared)
@@ -146,7 +146,7 @@
     if (id !== undefined) this.connection.send({ kind: FrameKind.Reply, id, body: reply })
   }
 
-  /** A handler that its scope has ended is no broken invariant: the caller gets no reply. */
+  /** A handler interrupted by the closing of its scope violates no invariant; the caller gets no reply. */
   private _onHandlerError (error: unknown): void {
     if (!(error instanceof ScopeClosedError)) this._onFatal(error)
   }
--- a/src/transport/tcpTransport.ts
+++ b/src/transport/tcpTransport.ts
@@ -1,6 +1,6 @@
 /**
- * Connections over TCP: each message is four bytes of length, big-endian, and
- * that many bytes of CBOR.
+ * Connections over TCP. Each message is a length of four bytes, big-endian,
+ * followed by that many bytes of CBOR.
  */
 import { createServer, connect as connectSocket, type Socket } from 'node:net'
 import { Decoder, Encoder } from 'cbor-x'
@@ -13,7 +13,7 @@
 const MAX_BACKLOG_BYTES = 64 * 1024 * 1024
 const KEEP_ALIVE_MS = 5_000
 
-/** Bytes and messages of all connections of a transport, for measurements. */
+/** Traffic of all connections of a transport, for measurements. */
 export interface TrafficCounts {
   sentBytes: number
   sentMessages: number
@@ -25,7 +25,7 @@
   readonly counts: TrafficCounts = { sentBytes: 0, sentMessages: 0, receivedBytes: 0, receivedMessages: 0 }
   private readonly _localHost: string | undefined
 
-  /** @param localHost IP number that outgoing connections are bound to */
+  /** @param localHost IP address that outgoing connections are bound to */
   constructor (localHost?: string) {
     this._localHost = localHost
   }
@@ -108,7 +108,7 @@
     this._counts.sentBytes += frame.length
     this._counts.sentMessages++
     this._socket.write(frame)
-    if (this._socket.writableLength > MAX_BACKLOG_BYTES) this.close('the other side does not keep up')
+    if (this._socket.writableLength > MAX_BACKLOG_BYTES) this.close(`the peer does not keep up: ${this._socket.writableLength} bytes are queued`)
   }
 
   onMessage (listener: (message: unknown) => void): void {
@@ -124,7 +124,7 @@
     this._pending = this._pending.length > 0 ? Buffer.concat([this._pending, chunk]) : chunk
     while (this._pending.length >= LENGTH_BYTES) {
       const lengthBytes = this._pending.readUInt32BE(0)
-      if (lengthBytes > MAX_FRAME_BYTES) return this.close(`frame of ${lengthBytes} bytes is over the limit`)
+      if (lengthBytes > MAX_FRAME_BYTES) return this.close(`frame of ${lengthBytes} bytes exceeds the limit of ${MAX_FRAME_BYTES}`)
       if (this._pending.length < LENGTH_BYTES + lengthBytes) return
       const body = this._pending.subarray(LENGTH_BYTES, LENGTH_BYTES + lengthBytes)
       this._pending = this._pending.subarray(LENGTH_BYTES + lengthBytes)
