--- a/src/replication/storage/storageLoader.ts
+++ b/src/replication/storage/storageLoader.ts
@@ -102,7 +102,7 @@
   const base = records[0]
   if (base?.kind !== 'base') return { kind: 'damaged', reason: 'its first record is unreadable' }
   const hardState = records.findLast(record => record.kind === 'hardState')?.hardState ?? { term: 0, votedFor: null }
-  const { entries, outOfOrder: outOfOrder } = replayEntries(records)
+  const { entries, outOfOrder } = replayEntries(records)
   if (outOfOrder) return { kind: 'damaged', reason: `entry ${outOfOrder.index} does not follow the previous one` }
   const firstIndex = entries[0]?.index ?? base.snapshotIndex + 1
   if (firstIndex > base.snapshotIndex + 1) return { kind: 'damaged', reason: `entries ${base.snapshotIndex + 1} to ${firstIndex - 1} are missing` }
