--- a/src/replication/log/followerProgress.ts
+++ b/src/replication/log/followerProgress.ts
@@ -14,7 +14,7 @@
 export class FollowerProgress {
   readonly member: Member
   /** Notified when there may be entries or a heartbeat to send. */
-  readonly sendRequested = new Signal()
+  readonly wanted = new Signal()
   /** Index of the next entry to send. */
   nextIndex: number
   /** Index up to which the follower has synced the log. */
--- a/src/replication/log/leadership.ts
+++ b/src/replication/log/leadership.ts
@@ -122,7 +122,7 @@
     const index = this._core.commitIndex
     const round = this._round
     this.requestedRound = round + 1
-    for (const { progress: follower } of this._followers.values()) follower.sendRequested.notify()
+    for (const { progress: follower } of this._followers.values()) follower.wanted.notify()
     while (this._quorumValue(follower => follower.ackedRound) <= round) {
       if (!(await this.acknowledged.wait(this.scope, progress))) return undefined
     }
@@ -151,7 +151,7 @@
     const { log } = this._core.state
     const atMs = Math.max(log.lastAtMs, this._core.options.clock.wallMs())
     const ticket = this._core.state.append([{ index: log.lastIndex + 1, term: this.term, kind, atMs, payload }])
-    for (const { progress } of this._followers.values()) progress.sendRequested.notify()
+    for (const { progress } of this._followers.values()) progress.wanted.notify()
     return ticket
   }
 
@@ -207,7 +207,7 @@
       this._isCommitNoticeScheduled = false
       if (this.scope.isClosed) return
       this.requestedRound = this._round + 1
-      for (const { progress } of this._followers.values()) progress.sendRequested.notify()
+      for (const { progress } of this._followers.values()) progress.wanted.notify()
     })
   }
 
--- a/src/replication/log/persistentState.ts
+++ b/src/replication/log/persistentState.ts
@@ -42,7 +42,7 @@
   }
 
   setHardState (hardState: HardState): number {
-    invariant(hardState.term >= this.term, `the term would decrease from ${this.term} to ${hardState.term}`)
+    invariant(hardState.term >= this.term, `term ${hardState.term} is lower than the current term ${this.term}`)
     this._hardState = hardState
     return this.writer.enqueue([{ kind: 'hardState', hardState }])
   }
--- a/src/replication/log/replication.ts
+++ b/src/replication/log/replication.ts
@@ -47,7 +47,7 @@
     const { clock, timings } = this._core.options
     const { log } = this._core.state
     for (;;) {
-      while (this._follower.nextIndex > log.lastIndex) await this._follower.sendRequested.wait(scope)
+      while (this._follower.nextIndex > log.lastIndex) await this._follower.wanted.wait(scope)
       const nextAtMs = clock.nowMs() + timings.appendIntervalMs
       const isHeld = this._follower.nextIndex > log.baseIndex
       const succeeded = isHeld ? await this._append(scope) : await this._sendSnapshot(scope)
@@ -63,7 +63,7 @@
       const nextAtMs = clock.nowMs() + timings.heartbeatMs
       await this._heartbeat(scope)
       while (this._follower.lastHeartbeatRound >= this._listener.requestedRound) {
-        if (!(await this._follower.sendRequested.wait(scope, { clock, deadlineMs: nextAtMs }))) break
+        if (!(await this._follower.wanted.wait(scope, { clock, deadlineMs: nextAtMs }))) break
       }
     }
   }
--- a/src/replication/storage/fileDisk.ts
+++ b/src/replication/storage/fileDisk.ts
@@ -65,7 +65,7 @@
     const target = join(this._folder, folder)
     await withStorageErrors(`create folder ${folder}`, () => mkdir(target, { recursive: true }))
     for (const name of names) {
-      await withStorageErrors(`move ${name} to ${folder}`, () => rename(join(this._folder, name), join(target, name)))
+      await withStorageErrors(`move ${name} aside`, () => rename(join(this._folder, name), join(target, name)))
     }
     await this.syncFolder()
   }
--- a/src/replication/storage/storageLoader.ts
+++ b/src/replication/storage/storageLoader.ts
@@ -48,12 +48,12 @@
   const identityBytes = await disk.read(IDENTITY_FILE)
   if (!identityBytes) {
     const isEmpty = !names.some(name => logNamePattern.test(name) || snapshotNamePattern.test(name))
-    return isEmpty ? { kind: 'empty' } : { kind: 'damaged', reason: `there are log or snapshot files, but no identity file ${IDENTITY_FILE}` }
+    return isEmpty ? { kind: 'empty' } : { kind: 'damaged', reason: 'there are log or snapshot files, but no identity file' }
   }
   const identity = decodeIdentity(identityBytes)
   if (!identity) return { kind: 'damaged', reason: `${IDENTITY_FILE}: its checksum does not match` }
   const logSequence = latestLogSequence(names)
-  if (logSequence === undefined) return { kind: 'damaged', reason: `there is an identity file ${IDENTITY_FILE}, but no log file` }
+  if (logSequence === undefined) return { kind: 'damaged', reason: 'there is an identity file, but no log file' }
   return await loadLog(disk, identity, logSequence)
 }
 
