--- a/src/replication/log/clusterFormation.ts
+++ b/src/replication/log/clusterFormation.ts
@@ -141,7 +141,7 @@
 
   private _logWaitingForMembers (others: InitialMember[], answers: IdentifyReply[]): void {
     if (this._triesCount++ % LOG_INTERVAL_TRIES_COUNT !== 0) return
-    const silent = others.filter(member => !answers.some(answer => answer.hostId === member.hostId))
-    this._core.options.logger.event(ReplicationEvent.WaitingForMembers, { hostIds: silent.map(member => member.hostId) })
+    const unanswered = others.filter(member => !answers.some(answer => answer.hostId === member.hostId))
+    this._core.options.logger.event(ReplicationEvent.WaitingForMembers, { hostIds: unanswered.map(member => member.hostId) })
   }
 }
--- a/src/replication/log/membershipChanges.ts
+++ b/src/replication/log/membershipChanges.ts
@@ -135,8 +135,8 @@
   private _shouldAdmit (newcomer: Omit<Member, 'role'>, predecessors: Member[]): boolean {
     const { placement } = this._policy
     if (!placement || predecessors.length > 0) return true
-    const present = this._withoutLeaving(this._core.members).filter(member => this._silentMs(member) <= REPLACE_SILENT_AFTER_MS)
-    return hasPlace(placement, present, newcomer)
+    const answering = this._withoutLeaving(this._core.members).filter(member => this._silentMs(member) <= REPLACE_SILENT_AFTER_MS)
+    return hasPlace(placement, answering, newcomer)
   }
 
   /** Promotes a spare before a voter is removed that is needed for the minimum number of voters. */
--- a/src/replication/log/persistentState.ts
+++ b/src/replication/log/persistentState.ts
@@ -67,8 +67,8 @@
       const retryFromIndex = Math.max(this.log.firstIndexOfTerm(prevIndex), commitIndex + 1)
       return { kind: 'mismatch', retryFromIndex }
     }
-    const fresh = this._dropKnown(request.entries, commitIndex)
-    if (fresh.length > 0) this.append(fresh)
+    const newEntries = this._dropKnown(request.entries, commitIndex)
+    if (newEntries.length > 0) this.append(newEntries)
     return { kind: 'merged', matchIndex: prevIndex + request.entries.length }
   }
 
--- a/src/replication/log/proposals.ts
+++ b/src/replication/log/proposals.ts
@@ -37,7 +37,7 @@
     if (!pending) return
     this._pending.delete(entry.index)
     if (pending.term === entry.term) pending.settle({ kind: 'committed', index: entry.index, result })
-    else pending.settle({ kind: 'notCommitted', reason: 'another entry took its place' })
+    else pending.settle({ kind: 'notCommitted', reason: `another entry was committed at index ${entry.index}` })
   }
 
   /** Settles proposals up to an index that a snapshot covers: they may be committed, but their results are not known here. */
--- a/src/replication/log/snapshotReceiver.ts
+++ b/src/replication/log/snapshotReceiver.ts
@@ -60,10 +60,10 @@
   }
 
   private async _transferFor ({ lastIndex, term }: SnapshotRequest): Promise<Transfer> {
-    const present = this._transfer
-    if (present?.lastIndex === lastIndex && present.term === term) return present
+    const current = this._transfer
+    if (current?.lastIndex === lastIndex && current.term === term) return current
     this._transfer = undefined
-    await present?.incoming.abandon()
+    await current?.incoming.abandon()
     const transfer = { lastIndex, term, incoming: await this._storage.receiveSnapshot() }
     this._transfer = transfer
     return transfer
