--- a/src/replication/log/membershipChanges.ts
+++ b/src/replication/log/membershipChanges.ts
@@ -13,7 +13,7 @@
 import type { Leadership } from './leadership.js'
 import { MemberRole, quorumCount, votersOf, type Member } from './members.js'
 import type { ReplicaCore } from './replicaCore.js'
-import { bestCandidate, excessMember, hasPlace, type ReplicaPlacement } from './replicaPlacement.js'
+import { learnerToPromote, excessMember, hasPlace, type ReplicaPlacement } from './replicaPlacement.js'
 
 export type MembershipOutcome =
   | { kind: 'accepted' }
@@ -107,7 +107,7 @@
     const ready = this._readyLearners()
     const successor = ready.find(({ hostId }) => this._vacatedHostIds.has(hostId))
     const predecessor = ready.map(learner => this._predecessorOf(learner)).find(member => member !== undefined)
-    const newcomer = this._needsVoter() ? bestCandidate(ready, votersOf(this._core.members)) : undefined
+    const newcomer = this._needsVoter() ? learnerToPromote(ready, votersOf(this._core.members)) : undefined
     if (successor) this._promoteSuccessor(successor)
     else if (predecessor) this._replace(predecessor)
     else if (newcomer) this._promoteNewcomer(newcomer)
@@ -141,7 +141,7 @@
 
   /** Promotes a spare before a voter is removed that is needed for the minimum number of voters. */
   private _promoteSpare (): boolean {
-    const successor = this._policy.placement && bestCandidate(this._readyLearners(), votersOf(this._core.members))
+    const successor = this._policy.placement && learnerToPromote(this._readyLearners(), votersOf(this._core.members))
     return successor !== undefined && this._promote(successor)
   }
 
--- a/src/replication/log/replicaPlacement.ts
+++ b/src/replication/log/replicaPlacement.ts
@@ -51,7 +51,7 @@
 }
 
 /** Of learners that may be promoted, the one whose data centre has the fewest voters. */
-export function bestCandidate (learners: readonly Member[], voters: readonly Member[]): Member | undefined {
+export function learnerToPromote (learners: readonly Member[], voters: readonly Member[]): Member | undefined {
   return byDataCentreCount(learners, voters)[0]
 }
 
