--- a/src/replication/log/durableWriter.ts
+++ b/src/replication/log/durableWriter.ts
@@ -1,7 +1,7 @@
 /**
- * The one task that writes the log to disk. Records that come while a write
- * is under way go out together in the next one, with one sync for all of
- * them; whoever has to answer for a record waits for its ticket.
+ * The single task that writes the log to disk. Records that are enqueued during
+ * a write are written together in the next one, with one sync for all of them
+ * (group commit). Replies that rely on a record wait for its ticket.
  */
 import { sleepUntil, type Clock } from '../../utils/clock.js'
 import { DiskFullError } from '../../utils/errors.js'
@@ -15,10 +15,10 @@
 import type { Compaction, ReplicaStorage } from '../storage/replicaStorage.js'
 import { entryBytes } from './logEntry.js'
 
-/** One write takes no more than about this. */
+/** Approximate size limit of one write. */
 const MAX_BATCH_BYTES = 4 * 1024 * 1024
-/** Pause before a write that a full disk has refused is tried again. */
-const FULL_RETRY_MS = 100
+/** Pause before a write is retried after the disk was full. */
+const DISK_FULL_RETRY_MS = 100
 
 type Job =
   | { kind: 'records', records: LogRecord[] }
@@ -31,7 +31,7 @@
   private readonly _clock: Clock
   private readonly _metrics: Metrics
   private readonly _logger: Logger
-  private readonly _work = new Signal()
+  private readonly _jobAdded = new Signal()
   private readonly _jobs: Job[] = []
   private _enqueuedCount = 0
   private _durableCount = 0
@@ -44,12 +44,12 @@
     this._logger = logger
   }
 
-  /** The ticket of everything that was enqueued so far. */
+  /** Ticket that covers everything enqueued so far. */
   get latestTicket (): number {
     return this._enqueuedCount
   }
 
-  /** Index of the last entry written; meaningful to a leader, which never cuts entries off. */
+  /** Index of the last entry written; only meaningful for a leader, which never truncates its log. */
   get lastEntryIndex (): number {
     return this._lastEntryIndex
   }
@@ -58,7 +58,7 @@
     return this._durableCount >= ticket
   }
 
-  /** Takes records to be written in this order; returns their ticket. */
+  /** Queues records to be written in this order; returns their ticket. */
   enqueue (records: LogRecord[]): number {
     return this._enqueue({ kind: 'records', records })
   }
@@ -74,11 +74,11 @@
 
   /**
    * Writes until the scope closes.
-   * @throws StorageError when the disk fails; the process has to stop.
+   * @throws StorageError when the disk fails; the process must stop then.
    */
   async run (scope: Scope): Promise<void> {
     for (;;) {
-      while (this._jobs.length === 0) await this._work.wait(scope)
+      while (this._jobs.length === 0) await this._jobAdded.wait(scope)
       const job = this._jobs[0]
       if (job?.kind === 'compaction') await this._compact(job.compaction, scope)
       else await this._writeBatch(scope)
@@ -89,30 +89,30 @@
   private _enqueue (job: Job): number {
     this._jobs.push(job)
     this._enqueuedCount++
-    this._work.notify()
+    this._jobAdded.notify()
     return this._enqueuedCount
   }
 
   private async _compact (compaction: Compaction, scope: Scope): Promise<void> {
     this._jobs.shift()
     const startedAtMs = this._clock.nowMs()
-    await this._untilThereIsRoom(scope, () => this._storage.compact(compaction))
+    await this._retryWhileDiskFull(scope, () => this._storage.compact(compaction))
     this._metrics.timing(MetricName.SnapshotWriteMs, this._clock.nowMs() - startedAtMs)
     this._durableCount++
   }
 
   private async _writeBatch (scope: Scope): Promise<void> {
-    const { records, jobsCount } = this._takeBatch()
+    const { records, jobsCount } = this._dequeueBatch()
     const startedAtMs = this._clock.nowMs()
-    await this._untilThereIsRoom(scope, () => this._storage.append(records))
+    await this._retryWhileDiskFull(scope, () => this._storage.append(records))
     this._metrics.timing(MetricName.LogSyncMs, this._clock.nowMs() - startedAtMs)
     this._durableCount += jobsCount
     const lastEntry = records.findLast(record => record.kind === 'entry')
     if (lastEntry?.kind === 'entry') this._lastEntryIndex = lastEntry.entry.index
   }
 
-  /** Repeats a write that a full disk refuses. Meanwhile nothing is durable here, so nothing is answered that relies on it. */
-  private async _untilThereIsRoom (scope: Scope, write: () => Promise<void>): Promise<void> {
+  /** Retries a write while the disk is full. Until it succeeds, its ticket is not durable, so no reply that relies on it is sent. */
+  private async _retryWhileDiskFull (scope: Scope, write: () => Promise<void>): Promise<void> {
     let isLogged = false
     for (;;) {
       try {
@@ -122,11 +122,11 @@
         if (!isLogged) this._logger.event(ReplicationEvent.DiskFull, { error: error.message })
         isLogged = true
       }
-      await sleepUntil(this._clock, scope, this._clock.nowMs() + FULL_RETRY_MS)
+      await sleepUntil(this._clock, scope, this._clock.nowMs() + DISK_FULL_RETRY_MS)
     }
   }
 
-  private _takeBatch (): { records: LogRecord[], jobsCount: number } {
+  private _dequeueBatch (): { records: LogRecord[], jobsCount: number } {
     const records: LogRecord[] = []
     let bytes = 0
     let jobsCount = 0
--- a/src/replication/log/following.ts
+++ b/src/replication/log/following.ts
@@ -1,6 +1,6 @@
 /**
- * The follower's side of replication: entries, heartbeats and snapshots of
- * the leader.
+ * The follower's side of replication: handles entries, heartbeats and snapshots
+ * from the leader.
  */
 import { sleepUntil } from '../../utils/clock.js'
 import type { Scope } from '../../utils/scope.js'
@@ -13,10 +13,10 @@
 import type { Snapshot } from '../storage/snapshotFile.js'
 import { SnapshotReceiver } from './snapshotReceiver.js'
 
-/** A piece that a full disk has refused is asked for again after this; well under the time that the leader waits for an answer (1 s). */
-const FULL_PAUSE_MS = 300
+/** Pause before a snapshot chunk that did not fit on a full disk is requested again; well below the leader's call timeout of 1 s. */
+const DISK_FULL_PAUSE_MS = 300
 
-export class Following {
+export class Follower {
   private readonly _core: ReplicaCore
   private readonly _applier: LogApplier
   private readonly _scope: Scope
@@ -26,7 +26,7 @@
     this._core = core
     this._applier = applier
     this._scope = scope
-    this._receiver = new SnapshotReceiver(core.parts.storage, piece => applier.reuse(piece))
+    this._receiver = new SnapshotReceiver(core.options.storage, piece => applier.reuse(piece))
   }
 
   async onAppend (request: AppendRequest): Promise<AppendReply> {
@@ -38,7 +38,7 @@
     if (merged.kind === 'mismatch') return merged
     core.commitTo(Math.min(request.commitIndex, merged.matchIndex))
     await core.settled(this._scope)
-    // A later leader may have cut the entries off again meanwhile.
+    // A later leader may have truncated the entries in the meantime.
     if (core.term !== request.term) return { kind: 'staleTerm', term: core.term }
     return { kind: 'matched', matchIndex: merged.matchIndex }
   }
@@ -59,43 +59,43 @@
     if (!(await core.accepts(request))) return { kind: 'wrongReplica' }
     if (request.term < core.term) return { kind: 'staleTerm', term: core.term }
     core.follow(request.term, request.fromReplicaId)
-    // What is committed here already agrees with the leader's log.
-    if (request.lastIndex <= core.commitIndex) return await this._matchedAt(core.commitIndex, request.term)
-    core.snapshots.noteArriving(request.lastIndex)
+    // Entries committed here already match the leader's log.
+    if (request.lastIndex <= core.commitIndex) return await this._installedAt(core.commitIndex, request.term)
+    core.snapshotStats.noteArriving(request.lastIndex)
     const received = await this._scope.race(this._receiver.receive(request))
     switch (received.kind) {
       case 'complete':
-        return await this._onWhole(received.snapshot, request.term)
+        return await this._onSnapshotComplete(received.snapshot, request.term)
       case 'incomplete':
         return { kind: 'expecting', offsetBytes: received.offsetBytes }
       case 'full':
-        return await this._onFull(received.offsetBytes, received.reason)
+        return await this._onDiskFull(received.offsetBytes, received.reason)
     }
   }
 
-  /** The leader sends the piece again; the pause keeps it from doing so in a loop. */
-  private async _onFull (offsetBytes: number, reason: string): Promise<SnapshotReply> {
-    const { clock, logger } = this._core.parts
+  /** Makes the leader send the chunk again; the pause prevents a busy loop. */
+  private async _onDiskFull (offsetBytes: number, reason: string): Promise<SnapshotReply> {
+    const { clock, logger } = this._core.options
     logger.event(ReplicationEvent.DiskFull, { error: reason })
-    await sleepUntil(clock, this._scope, clock.nowMs() + FULL_PAUSE_MS)
+    await sleepUntil(clock, this._scope, clock.nowMs() + DISK_FULL_PAUSE_MS)
     return { kind: 'expecting', offsetBytes }
   }
 
-  /** The disk took its time: terms may have changed, and entries may have come, since the last piece was sent. */
-  private async _onWhole (snapshot: Snapshot, term: number): Promise<SnapshotReply> {
+  /** Installs a received snapshot. Writing it may have been slow, so the term may have changed and entries may have arrived since the last chunk was sent. */
+  private async _onSnapshotComplete (snapshot: Snapshot, term: number): Promise<SnapshotReply> {
     const core = this._core
     if (core.term !== term || snapshot.lastIndex <= core.commitIndex) {
-      await this._scope.race(core.parts.storage.discardSnapshot(snapshot))
-      return core.term === term ? await this._matchedAt(core.commitIndex, term) : { kind: 'staleTerm', term: core.term }
+      await this._scope.race(core.options.storage.discardSnapshot(snapshot))
+      return core.term === term ? await this._installedAt(core.commitIndex, term) : { kind: 'staleTerm', term: core.term }
     }
     core.state.install(snapshot)
     core.commitIndex = snapshot.lastIndex
     this._applier.restore(snapshot)
-    core.parts.logger.event(ReplicationEvent.SnapshotInstalled, { lastIndex: snapshot.lastIndex, bytesCount: snapshot.lengthBytes, tookMs: core.snapshots.noteInstalled(snapshot.lengthBytes) })
-    return await this._matchedAt(snapshot.lastIndex, term)
+    core.options.logger.event(ReplicationEvent.SnapshotInstalled, { lastIndex: snapshot.lastIndex, bytesCount: snapshot.lengthBytes, tookMs: core.snapshotStats.noteInstalled(snapshot.lengthBytes) })
+    return await this._installedAt(snapshot.lastIndex, term)
   }
 
-  private async _matchedAt (matchIndex: number, term: number): Promise<SnapshotReply> {
+  private async _installedAt (matchIndex: number, term: number): Promise<SnapshotReply> {
     await this._core.settled(this._scope)
     if (this._core.term !== term) return { kind: 'staleTerm', term: this._core.term }
     return { kind: 'installed', matchIndex }
--- a/src/replication/log/logApplier.ts
+++ b/src/replication/log/logApplier.ts
@@ -1,6 +1,6 @@
 /**
- * Applies committed entries to the replicated state, in order, and takes a
- * snapshot of it when the log has grown enough.
+ * Applies committed entries to the replicated state in order, and takes a
+ * snapshot of it once the log has grown enough.
  */
 import { Decoder } from 'cbor-x'
 import { setImmediate as nextTurn } from 'node:timers/promises'
@@ -10,21 +10,21 @@
 import { Signal } from '../../utils/signal.js'
 import { ReplicationEvent } from '../replicationEvents.js'
 import type { ReplicatedState, SnapshotPieces } from '../replicatedState.js'
-import type { Snapshot, SnapshotHead, WrittenSnapshot } from '../storage/snapshotFile.js'
+import type { Snapshot, SnapshotHeader, WrittenSnapshot } from '../storage/snapshotFile.js'
 import { EntryKind, entryBytes, type LogEntry } from './logEntry.js'
 import type { Proposals } from './proposals.js'
 import type { ReplicaCore } from './replicaCore.js'
 
-/** Entries applied before other tasks get their turn. */
-const MAX_TURN_COUNT = 256
-/** Pause before a snapshot that a full disk has refused is taken anew. */
-const FULL_RETRY_MS = 1_000
+/** Entries applied before the task yields to the event loop. */
+const MAX_ENTRIES_PER_TURN = 256
+/** Pause before a snapshot is taken again after the disk was full. */
+const DISK_FULL_RETRY_MS = 1_000
 
 export interface SnapshotPolicy {
-  /** A snapshot is taken after so many entries, or so many bytes of them. */
+  /** A snapshot is taken after this many entries, or after `everyBytes` bytes of entries. */
   everyEntriesCount: number
   everyBytes: number
-  /** Entries kept behind the snapshot for followers that lag a little. */
+  /** Entries before the snapshot that stay in memory for followers that lag slightly. */
   keptEntriesCount: number
 }
 
@@ -34,24 +34,24 @@
   keptEntriesCount: 1024
 }
 
-/** Called for every entry applied; for tests that compare replicas. */
+/** Called for every applied entry; for tests that compare replicas. */
 export type ApplyObserver = (entry: LogEntry, result: unknown) => void
 
 export class LogApplier {
-  /** Notified after every turn of applying, and after a restored snapshot. */
+  /** Notified after every batch of applied entries, and after a snapshot is restored. */
   readonly applied = new Signal()
   private readonly _core: ReplicaCore
   private readonly _state: ReplicatedState<unknown, unknown>
   private readonly _proposals: Proposals
   private readonly _policy: SnapshotPolicy
   private readonly _observer: ApplyObserver | undefined
-  /** Byte arrays of a command are views into the entry's payload, which the log holds as well. */
+  /** Byte arrays in a decoded command are views into the entry's payload, which the log also holds. */
   private readonly _decoder = new Decoder({ useRecords: false })
   private _appliedIndex: number
-  /** Since the state that the latest snapshot shows. */
-  private _entriesCount = 0
-  private _bytes = 0
-  /** Counts the states that were replaced as a whole: a snapshot of an earlier one is worth nothing. */
+  /** Entries applied since the latest snapshot. */
+  private _entriesSinceSnapshotCount = 0
+  private _bytesSinceSnapshot = 0
+  /** Number of restores; a snapshot that was started before a restore is obsolete. */
   private _restoresCount = 0
   private readonly _snapshotDue = new Signal()
 
@@ -68,7 +68,7 @@
     return this._appliedIndex
   }
 
-  /** Waits until the state holds an entry. */
+  /** Waits until an entry is applied to the state. */
   async whenApplied (index: number, scope: Scope): Promise<void> {
     while (this._appliedIndex < index) await this.applied.wait(scope)
   }
@@ -76,7 +76,7 @@
   async run (scope: Scope): Promise<void> {
     for (;;) {
       while (this._appliedIndex >= this._core.commitIndex) await this._core.committed.wait(scope)
-      this._applyTurn()
+      this._applyBatch()
       this.applied.notify()
       if (this._isSnapshotDue()) this._snapshotDue.notify()
       if (this._appliedIndex < this._core.commitIndex) await scope.race(nextTurn())
@@ -84,9 +84,9 @@
   }
 
   /**
-   * Takes snapshots as they become due, one after the other, while entries go
-   * on being applied: a leader that wrote one in a single turn was held up for
-   * longer than its followers wait for a heartbeat.
+   * Takes snapshots as they become due, one at a time, while entries continue
+   * to be applied: a leader that wrote a snapshot in a single event-loop turn
+   * was blocked for longer than its followers wait for a heartbeat.
    */
   async runSnapshots (scope: Scope): Promise<void> {
     for (;;) {
@@ -95,27 +95,27 @@
     }
   }
 
-  /** A piece of a leader's snapshot, with what the state holds already. */
+  /** Returns a piece of a leader's snapshot in which parts that the state already holds are shared with it. */
   reuse (piece: unknown): unknown {
     return this._state.reuse(piece)
   }
 
-  /** Replaces the state by a leader's snapshot. */
+  /** Replaces the state with a leader's snapshot. */
   restore (snapshot: Snapshot): void {
     this._state.restore(snapshot.pieces)
     this._appliedIndex = snapshot.lastIndex
     this._restoresCount++
-    this._entriesCount = 0
-    this._bytes = 0
-    this._proposals.forgetUpTo(snapshot.lastIndex)
+    this._entriesSinceSnapshotCount = 0
+    this._bytesSinceSnapshot = 0
+    this._proposals.resolveCovered(snapshot.lastIndex)
     this.applied.notify()
   }
 
-  private _applyTurn (): void {
-    const lastIndex = Math.min(this._core.commitIndex, this._appliedIndex + MAX_TURN_COUNT)
+  private _applyBatch (): void {
+    const lastIndex = Math.min(this._core.commitIndex, this._appliedIndex + MAX_ENTRIES_PER_TURN)
     while (this._appliedIndex < lastIndex) {
       const entry = this._core.state.log.get(this._appliedIndex + 1)
-      invariant(entry, `committed entry ${this._appliedIndex + 1} is not held`)
+      invariant(entry, `committed entry ${this._appliedIndex + 1} is not in the log`)
       this._apply(entry)
     }
   }
@@ -123,45 +123,45 @@
   private _apply (entry: LogEntry): void {
     const result = entry.kind === EntryKind.Command ? this._state.apply(this._decoder.decode(entry.payload), entry) : undefined
     this._appliedIndex = entry.index
-    this._entriesCount++
-    this._bytes += entryBytes(entry)
+    this._entriesSinceSnapshotCount++
+    this._bytesSinceSnapshot += entryBytes(entry)
     this._observer?.(entry, result)
     this._proposals.settle(entry, result)
   }
 
   private _isSnapshotDue (): boolean {
-    return this._entriesCount >= this._policy.everyEntriesCount || this._bytes >= this._policy.everyBytes
+    return this._entriesSinceSnapshotCount >= this._policy.everyEntriesCount || this._bytesSinceSnapshot >= this._policy.everyBytes
   }
 
   private async _takeSnapshot (scope: Scope): Promise<void> {
-    const { state, snapshots, parts: { clock, storage, logger } } = this._core
-    const begunAtMs = clock.nowMs()
+    const { state, snapshotStats: snapshots, options: { clock, storage, logger } } = this._core
+    const startedAtMs = clock.nowMs()
     const restoresCount = this._restoresCount
-    const head = this._head()
+    const header = this._snapshotHeader()
     const pieces = this._state.snapshot()
-    this._entriesCount = 0
-    this._bytes = 0
-    const written = await this._write(head, pieces, scope)
+    this._entriesSinceSnapshotCount = 0
+    this._bytesSinceSnapshot = 0
+    const written = await this._write(header, pieces, scope)
     if (!written) return await this._retryLater(restoresCount, scope)
-    // A leader's snapshot, which is later, has come meanwhile.
+    // A later snapshot from the leader was installed in the meantime.
     if (restoresCount !== this._restoresCount) return await scope.race(storage.discardSnapshot(written))
     state.compact(written, this._policy.keptEntriesCount)
-    logger.event(ReplicationEvent.SnapshotTaken, { lastIndex: written.lastIndex, bytesCount: written.lengthBytes, tookMs: snapshots.noteTaken(written.lengthBytes, begunAtMs) })
+    logger.event(ReplicationEvent.SnapshotTaken, { lastIndex: written.lastIndex, bytesCount: written.lengthBytes, tookMs: snapshots.recordTaken(written.lengthBytes, startedAtMs) })
   }
 
-  private _head (): SnapshotHead {
+  private _snapshotHeader (): SnapshotHeader {
     const { log, members } = this._core.state
     const lastIndex = this._appliedIndex
     const last = log.get(lastIndex)
-    invariant(last, 'the last applied entry is not held')
+    invariant(last, `the last applied entry ${lastIndex} is not in the log`)
     return { lastIndex, lastTerm: last.term, lastAtMs: last.atMs, members: members.at(lastIndex) }
   }
 
-  /** Undefined when the disk is full, or another snapshot of the entry is on its way: the log stays as it is, and the next try shows a later state. */
-  private async _write (head: SnapshotHead, pieces: SnapshotPieces, scope: Scope): Promise<WrittenSnapshot | undefined> {
-    const { logger, storage } = this._core.parts
+  /** Returns undefined if the disk is full or another snapshot at the same entry is already pending. The log is then not compacted, and the next attempt captures a later state. */
+  private async _write (header: SnapshotHeader, pieces: SnapshotPieces, scope: Scope): Promise<WrittenSnapshot | undefined> {
+    const { logger, storage } = this._core.options
     try {
-      return await scope.race(storage.writeSnapshot(head, pieces))
+      return await scope.race(storage.writeSnapshot(header, pieces))
     } catch (error) {
       if (!(error instanceof DiskFullError)) throw error
       logger.event(ReplicationEvent.DiskFull, { error: error.message })
@@ -170,8 +170,8 @@
   }
 
   private async _retryLater (restoresCount: number, scope: Scope): Promise<void> {
-    const { clock } = this._core.parts
-    await sleepUntil(clock, scope, clock.nowMs() + FULL_RETRY_MS)
-    if (restoresCount === this._restoresCount) this._entriesCount = this._policy.everyEntriesCount
+    const { clock } = this._core.options
+    await sleepUntil(clock, scope, clock.nowMs() + DISK_FULL_RETRY_MS)
+    if (restoresCount === this._restoresCount) this._entriesSinceSnapshotCount = this._policy.everyEntriesCount
   }
 }
--- a/src/replication/log/memberReport.ts
+++ b/src/replication/log/memberReport.ts
@@ -1,16 +1,16 @@
 /**
- * Tells the log of this host of every change of members that its replica
- * learns of, by whichever way: so the logs of all hosts together show who
- * counted whom at any time.
+ * Logs every change of members that this host's replica learns of, from log
+ * entries, truncation or snapshots. Together, the logs of all hosts show which
+ * members each replica assumed at any time.
  */
 import { ReplicationEvent } from '../replicationEvents.js'
 import { MemberRole, quorumCount, votersOf } from './members.js'
 import type { ReplicaCore } from './replicaCore.js'
 
-export function reportMemberChanges (core: ReplicaCore): void {
+export function logMemberChanges (core: ReplicaCore): void {
   core.state.members.watch(() => {
     const voters = votersOf(core.members)
-    core.parts.logger.event(ReplicationEvent.MembersKnown, {
+    core.options.logger.event(ReplicationEvent.MembersKnown, {
       index: core.state.members.latestIndex,
       voters: voters.map(({ hostId }) => hostId),
       learners: core.members.filter(({ role }) => role === MemberRole.Learner).map(({ hostId }) => hostId),
--- a/src/replication/log/replica.ts
+++ b/src/replication/log/replica.ts
@@ -1,6 +1,6 @@
 /**
- * One replica of the log: the module that wires its parts, serves the other
- * replicas, and offers proposing and reading to the rest of the program.
+ * One replica of the log: wires its components together, serves the calls of
+ * the other replicas, and offers proposals and reads to the rest of the program.
  */
 import { Encoder } from 'cbor-x'
 import { sleepUntil, type Clock } from '../../utils/clock.js'
@@ -17,12 +17,12 @@
 import type { ReplicatedState } from '../replicatedState.js'
 import type { OpenedReplica } from '../storage/replicaStorage.js'
 import { DurableWriter } from './durableWriter.js'
-import { Following } from './following.js'
+import { Follower } from './following.js'
 import { Handover } from './handover.js'
 import { Leadership } from './leadership.js'
 import { JoinRefusals } from './joinRefusals.js'
 import { LogApplier, type ApplyObserver, type SnapshotPolicy } from './logApplier.js'
-import { reportMemberChanges } from './memberReport.js'
+import { logMemberChanges } from './memberReport.js'
 import type { Member } from './members.js'
 import { MembershipChanges, type MembershipOutcome, type MembershipPolicy } from './membershipChanges.js'
 import { PeerLinks } from './peerLinks.js'
@@ -34,7 +34,7 @@
 import type { LogTimings } from './timings.js'
 import { CampaignOutcome, Voting } from './voting.js'
 
-export interface ReplicaParts extends MembershipPolicy {
+export interface ReplicaOptions extends MembershipPolicy {
   clock: Clock
   random: RandomSource
   metrics: Metrics
@@ -47,69 +47,69 @@
   state: ReplicatedState<unknown, unknown>
   snapshotPolicy: SnapshotPolicy
   observer?: ApplyObserver
-  /** Instant before which this process answered nobody; when absent, the making of the replica. */
+  /** Time before which this process answered no requests; defaults to the creation of the replica. */
   startedAtMs?: number
-  /** From the opening of the data folder until it was read. */
+  /** Time taken to open and read the data folder. */
   readMs?: number
 }
 
 export type ReadOutcome = { kind: 'confirmed' } | { kind: 'notLeader' } | { kind: 'unavailable', reason: string }
 
-/** How a reader is told that what it reads is not out of date. */
+/** How a read is proven to be linearizable. */
 export enum ReadMode {
-  /** A quorum confirms the leader after the read began. */
+  /** A quorum confirms the leader after the read started. */
   Quorum = 'quorum',
-  /** The leader's lease is enough, while it lasts; relies on clock rates. */
+  /** The leader's lease suffices while it is valid; relies on bounded clock rates. */
   Lease = 'lease'
 }
 
-/** Proposals that may wait for a commit at once. */
+/** Proposals that may wait for their commit at the same time. */
 const MAX_PROPOSALS_COUNT = 10_000
-/** One try to be confirmed as leader, and the pause before the next. */
+/** Timeout of one attempt to be confirmed as leader, and the pause before the next one. */
 const CURRENT_TIMEOUT_MS = 1_000
 const CURRENT_RETRY_MS = 20
 
 export class Replica {
   readonly core: ReplicaCore
   readonly links: PeerLinks
-  /** Without what was read at the start, which has its places by now. */
-  private readonly _parts: Omit<ReplicaParts, 'opened'>
+  /** Without `opened`, whose contents have been handed to the components and must not be kept alive. */
+  private readonly _options: Omit<ReplicaOptions, 'opened'>
   private readonly _scope: Scope
   private readonly _applier: LogApplier
   private readonly _proposals = new Proposals()
-  private readonly _following: Following
+  private readonly _follower: Follower
   private readonly _voting: Voting
   private readonly _joinRefusals: JoinRefusals
   private readonly _startReport: StartReport
   private readonly _encoder = new Encoder({ useRecords: false })
   private _leadership: Leadership | undefined
   private _membershipChanges: MembershipChanges | undefined
-  /** Notified when a leader hands over to this replica. */
-  private readonly _campaignAsked = new Signal()
+  /** Notified when a leader hands its leadership over to this replica. */
+  private readonly _campaignRequested = new Signal()
   /** Term of the leader that handed over. */
   private _handedOverTerm: number | undefined
 
-  constructor (parts: ReplicaParts) {
-    const { opened, ...kept } = parts
-    const { clock, random, metrics, logger, timings, supervisor } = kept
-    this._parts = kept
+  constructor (options: ReplicaOptions) {
+    const { opened, ...retained } = options
+    const { clock, random, metrics, logger, timings, supervisor } = retained
+    this._options = retained
     this._scope = supervisor.scope
     const writer = new DurableWriter(opened.storage, clock, metrics, logger)
     const state = new PersistentState(opened.loaded, writer)
     const snapshot = opened.loaded.snapshot
     const restoredFromMs = clock.nowMs()
-    if (snapshot) parts.state.restore(snapshot.pieces)
+    if (snapshot) options.state.restore(snapshot.pieces)
     const restoreMs = clock.nowMs() - restoredFromMs
-    const startedAtMs = parts.startedAtMs ?? clock.nowMs()
+    const startedAtMs = options.startedAtMs ?? clock.nowMs()
     this.core = new ReplicaCore({ clock, random, metrics, logger, timings, storage: opened.storage, state, startedAtMs }, snapshot?.lastIndex ?? 0)
-    this.links = new PeerLinks(parts.transport, this._scope, parts.onFatal)
-    this._applier = new LogApplier(this.core, parts.state, this._proposals, parts.snapshotPolicy, parts.observer)
-    this._following = new Following(this.core, this._applier, this._scope)
+    this.links = new PeerLinks(options.transport, this._scope, options.onFatal)
+    this._applier = new LogApplier(this.core, options.state, this._proposals, options.snapshotPolicy, options.observer)
+    this._follower = new Follower(this.core, this._applier, this._scope)
     this._voting = new Voting(this.core, this.links, this._scope)
     this._joinRefusals = new JoinRefusals(clock, logger)
-    this._startReport = new StartReport(this, opened.loaded, { readMs: parts.readMs, restoreMs })
-    if (snapshot) this.core.snapshots.noteLoaded(opened.loaded.snapshotLengthBytes, (parts.readMs ?? 0) + restoreMs)
-    reportMemberChanges(this.core)
+    this._startReport = new StartReport(this, opened.loaded, { readMs: options.readMs, restoreMs })
+    if (snapshot) this.core.snapshotStats.recordLoaded(opened.loaded.snapshotLengthBytes, (options.readMs ?? 0) + restoreMs)
+    logMemberChanges(this.core)
   }
 
   get appliedIndex (): number {
@@ -121,36 +121,36 @@
     return this._applier.applied
   }
 
-  /** The present leadership of this replica, if it leads. */
+  /** The current leadership of this replica, if it leads. */
   get leadership (): Leadership | undefined {
     return this._leadership?.scope.isClosed === false ? this._leadership : undefined
   }
 
-  /** Registers what the other replicas call; before the listener opens. */
+  /** Registers the methods that other replicas call; call this before the listener opens. */
   serve (handlers: RpcHandlers): void {
     handlers.on(voteMethod, request => this._voting.onVote(request))
-    handlers.on(appendMethod, request => this._following.onAppend(request))
-    handlers.on(heartbeatMethod, request => this._following.onHeartbeat(request))
-    handlers.on(snapshotMethod, request => this._following.onSnapshot(request))
+    handlers.on(appendMethod, request => this._follower.onAppend(request))
+    handlers.on(heartbeatMethod, request => this._follower.onHeartbeat(request))
+    handlers.on(snapshotMethod, request => this._follower.onSnapshot(request))
     handlers.on(campaignMethod, request => this._onCampaign(request))
   }
 
   start (): void {
-    this._startReport.tellLoaded()
-    this._parts.supervisor.spawn('log writer', scope => this.core.state.writer.run(scope))
-    this._parts.supervisor.spawn('applier', scope => this._applier.run(scope))
-    this._parts.supervisor.spawn('start report', scope => this._startReport.tellApplied(scope))
-    this._parts.supervisor.spawn('snapshots', scope => this._applier.runSnapshots(scope))
-    this._parts.supervisor.spawn('elections', scope => this._standForElections(scope))
+    this._startReport.logLoaded()
+    this._options.supervisor.spawn('log writer', scope => this.core.state.writer.run(scope))
+    this._options.supervisor.spawn('applier', scope => this._applier.run(scope))
+    this._options.supervisor.spawn('start report', scope => this._startReport.logApplied(scope))
+    this._options.supervisor.spawn('snapshots', scope => this._applier.runSnapshots(scope))
+    this._options.supervisor.spawn('elections', scope => this._runElections(scope))
   }
 
-  /** Puts a command into the log and waits until it was applied. */
+  /** Appends a command to the log and waits until it is applied. */
   async propose (command: unknown, progress: Progress): Promise<ProposalOutcome> {
     const leadership = this.leadership
     if (!leadership) return { kind: 'notCommitted', reason: 'not the leader' }
-    if (leadership.isHandingOver) return { kind: 'notCommitted', reason: 'the leader hands over' }
-    if (this._proposals.count >= MAX_PROPOSALS_COUNT) return { kind: 'notCommitted', reason: 'too many proposals wait' }
-    // A copy of the encoder's buffer, which is shared.
+    if (leadership.isHandingOver) return { kind: 'notCommitted', reason: 'the leader is handing over its leadership' }
+    if (this._proposals.count >= MAX_PROPOSALS_COUNT) return { kind: 'notCommitted', reason: `too many pending proposals: the limit is ${MAX_PROPOSALS_COUNT}` }
+    // Copied, because the encoder reuses its buffer.
     const index = leadership.propose(Uint8Array.from(this._encoder.encode(command)))
     const outcome = this._proposals.outcomeOf(index, leadership.term)
     try {
@@ -161,7 +161,7 @@
     }
   }
 
-  /** Makes sure that the state holds everything that was committed before the call. */
+  /** Waits until the state contains everything that was committed before the call. */
   async read (mode: ReadMode, progress: Progress): Promise<ReadOutcome> {
     const leadership = this.leadership
     if (!leadership) return { kind: 'notLeader' }
@@ -170,16 +170,16 @@
       const index = byLease ?? await leadership.readIndex(progress)
       if (index === undefined) return { kind: 'unavailable', reason: 'a quorum did not confirm the leader in time' }
       const applied = await progress.race(this._applier.whenApplied(index, this._scope))
-      return applied.kind === 'done' ? { kind: 'confirmed' } : { kind: 'unavailable', reason: 'not applied in time' }
+      return applied.kind === 'done' ? { kind: 'confirmed' } : { kind: 'unavailable', reason: `entry ${index} was not applied in time` }
     } catch (error) {
       if (!(error instanceof ScopeClosedError)) throw error
       return { kind: 'notLeader' }
     }
   }
 
-  /** Waits until the state holds everything that earlier leaders committed; for a replica that has begun to lead. */
+  /** Waits until the state contains everything that earlier leaders committed; for a replica that has just become leader. */
   async whenCurrent (scope: Scope): Promise<void> {
-    const { clock } = this._parts
+    const { clock } = this._options
     for (;;) {
       const read = await this.read(ReadMode.Quorum, new Progress(clock, scope, clock.nowMs() + CURRENT_TIMEOUT_MS))
       if (read.kind === 'confirmed') return
@@ -187,12 +187,12 @@
     }
   }
 
-  /** Waits until the state holds an entry. */
+  /** Waits until an entry is applied to the state. */
   async whenApplied (index: number): Promise<void> {
     await this._applier.whenApplied(index, this._scope)
   }
 
-  /** Ends this replica's leadership, if it leads, so that another one begins at once. */
+  /** Transfers this replica's leadership, if it leads, to another replica without an election timeout. */
   async handOver (progress: Progress): Promise<void> {
     const { leadership } = this
     if (leadership) await new Handover(this.core, this.links, leadership).run(progress)
@@ -214,21 +214,21 @@
     return this.leadership && this._membershipChanges
   }
 
-  private async _standForElections (scope: Scope): Promise<void> {
+  private async _runElections (scope: Scope): Promise<void> {
     let pauseMs = 0
     for (;;) {
-      await this._untilElectionIsDue(scope, pauseMs)
+      await this._waitUntilElectionDue(scope, pauseMs)
       const isHandover = this._handedOverTerm === this.core.term
       this._handedOverTerm = undefined
-      const outcome = this.core.isVoter() ? await this._voting.campaign(isHandover) : CampaignOutcome.NotWanted
+      const outcome = this.core.isVoter() ? await this._voting.campaign(isHandover) : CampaignOutcome.NotStarted
       if (outcome === CampaignOutcome.Won) await this._lead()
       pauseMs = this._pauseAfter(outcome)
     }
   }
 
   private _pauseAfter (outcome: CampaignOutcome): number {
-    const { random, timings } = this._parts
-    if (outcome === CampaignOutcome.NotWanted) return random.int(timings.preVoteRetryMinMs, timings.preVoteRetryMaxMs)
+    const { random, timings } = this._options
+    if (outcome === CampaignOutcome.NotStarted) return random.int(timings.preVoteRetryMinMs, timings.preVoteRetryMaxMs)
     return random.int(timings.electionMinMs, timings.electionMaxMs)
   }
 
@@ -236,25 +236,25 @@
     if (!(await this.core.accepts(request))) return { kind: 'wrongReplica' }
     if (request.term !== this.core.term || !this.core.isVoter() || this.leadership) return { kind: 'declined' }
     this._handedOverTerm = request.term
-    this._campaignAsked.notify()
+    this._campaignRequested.notify()
     return { kind: 'campaigning' }
   }
 
-  /** Returns after a pause, when nobody was heard from for a random election timeout, or when a leader hands over. */
-  private async _untilElectionIsDue (scope: Scope, pauseMs: number): Promise<void> {
-    const { clock, random, timings } = this._parts
+  /** Returns when the pause is over and no leader has called for a random election timeout, or at once when a leader hands over. */
+  private async _waitUntilElectionDue (scope: Scope, pauseMs: number): Promise<void> {
+    const { clock, random, timings } = this._options
     const timeoutMs = random.int(timings.electionMinMs, timings.electionMaxMs)
     const pauseEndsAtMs = clock.nowMs() + pauseMs
-    const dueAtMs = (): number => Math.max(pauseEndsAtMs, this.core.quietSinceMs + timeoutMs * this.core.patienceFactor)
+    const dueAtMs = (): number => Math.max(pauseEndsAtMs, this.core.quietSinceMs + timeoutMs * this.core.electionTimeoutFactor)
     while (clock.nowMs() < dueAtMs() && this._handedOverTerm === undefined) {
-      await this._campaignAsked.wait(scope, { clock, deadlineMs: dueAtMs() })
+      await this._campaignRequested.wait(scope, { clock, deadlineMs: dueAtMs() })
     }
   }
 
   private async _lead (): Promise<void> {
-    const supervisor = this._parts.supervisor.child(`leadership of term ${this.core.term}`)
+    const supervisor = this._options.supervisor.child(`leadership of term ${this.core.term}`)
     const leadership = new Leadership(this.core, this.links, supervisor)
-    const changes = new MembershipChanges(this.core, leadership, this._parts)
+    const changes = new MembershipChanges(this.core, leadership, this._options)
     this.core.becomeLeader(reason => supervisor.scope.close(reason))
     this._leadership = leadership
     this._membershipChanges = changes
@@ -262,7 +262,7 @@
     try {
       await leadership.run()
     } finally {
-      supervisor.scope.close('leadership over')
+      supervisor.scope.close('leadership ended')
       this._leadership = undefined
       this._membershipChanges = undefined
     }
--- a/src/replication/log/replication.ts
+++ b/src/replication/log/replication.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's two tasks for each other replica: one sends entries and
- * snapshots, one at a time; the other sends heartbeats, which wait for no
- * disk and so tell whether the leader is still followed.
+ * The leader's two tasks for each follower. One sends entries and snapshots,
+ * one message at a time. The other sends heartbeats; a follower answers them
+ * without waiting for its disk, so they show whether it still follows the leader.
  */
 import { invariant } from '../../utils/errors.js'
 import { sleepUntil } from '../../utils/clock.js'
@@ -12,22 +12,22 @@
 import { appendMethod, heartbeatMethod, snapshotMethod, type AppendReply, type SnapshotReply } from './raftMethods.js'
 import type { ReplicaCore } from './replicaCore.js'
 
-/** Entries of one message, in bytes; one entry may be larger. */
+/** Size limit for the entries of one message; a single larger entry is still sent. */
 const MAX_APPEND_BYTES = 1024 * 1024
-/** Read from the disk and sent one by one: the leader holds one of them for each replica that is behind. */
-const SNAPSHOT_PIECE_BYTES = 512 * 1024
+/** Chunks are read from disk and sent one by one; the leader holds one in memory per follower that needs a snapshot. */
+const SNAPSHOT_CHUNK_BYTES = 512 * 1024
 
-/** What the tasks tell the leadership. */
+/** Callbacks from the replication tasks to the leadership. */
 export interface ReplicationListener {
-  /** Numbers requests, so that an answer tells what had been asked before it. */
+  /** Numbers requests, so that an answer also confirms everything requested before it. */
   nextRound (): number
-  /** The highest number that somebody waits for to be confirmed. */
-  readonly wantedRound: number
+  /** Highest round whose confirmation is awaited. */
+  readonly requestedRound: number
   onAcknowledged (): void
   onMatched (): void
 }
 
-export class Replication {
+export class FollowerReplicator {
   private readonly _core: ReplicaCore
   private readonly _links: PeerLinks
   private readonly _follower: FollowerProgress
@@ -42,9 +42,9 @@
     this._term = core.term
   }
 
-  /** Sends entries as they come, until the scope closes. */
+  /** Sends entries as they are appended, until the scope closes. */
   async sendEntries (scope: Scope): Promise<void> {
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     const { log } = this._core.state
     for (;;) {
       while (this._follower.nextIndex > log.lastIndex) await this._follower.wanted.wait(scope)
@@ -56,13 +56,13 @@
     }
   }
 
-  /** Sends a heartbeat at every interval, and at once when a confirmation is wanted. */
+  /** Sends a heartbeat in every interval, and at once when a confirmation is requested. */
   async sendHeartbeats (scope: Scope): Promise<void> {
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     for (;;) {
       const nextAtMs = clock.nowMs() + timings.heartbeatMs
       await this._heartbeat(scope)
-      while (this._follower.sentRound >= this._listener.wantedRound) {
+      while (this._follower.lastHeartbeatRound >= this._listener.requestedRound) {
         if (!(await this._follower.wanted.wait(scope, { clock, deadlineMs: nextAtMs }))) break
       }
     }
@@ -70,11 +70,11 @@
 
   private async _append (scope: Scope): Promise<boolean> {
     scope.throwIfClosed()
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     const { log } = this._core.state
     const prevIndex = this._follower.nextIndex - 1
     const prevTerm = log.termAt(prevIndex)
-    invariant(prevTerm !== undefined, `entry ${prevIndex} is not held`)
+    invariant(prevTerm !== undefined, `entry ${prevIndex} is not in the log: it was compacted away`)
     const entries = log.slice(this._follower.nextIndex, MAX_APPEND_BYTES)
     const request = { ...this._address(), prevIndex, prevTerm, commitIndex: this._core.commitIndex, entries }
     const sentAt = this._sentAt()
@@ -88,7 +88,7 @@
   private _onAppendReply (reply: AppendReply, round: number, sentAt: SentAt): boolean {
     switch (reply.kind) {
       case 'matched':
-        this._follower.matched(reply.matchIndex)
+        this._follower.recordMatch(reply.matchIndex)
         this._acknowledge(round, sentAt)
         this._listener.onMatched()
         return true
@@ -106,11 +106,11 @@
 
   private async _heartbeat (scope: Scope): Promise<void> {
     scope.throwIfClosed()
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     const commitIndex = Math.min(this._core.commitIndex, this._follower.matchIndex)
     const sentAt = this._sentAt()
     const round = this._listener.nextRound()
-    this._follower.sentRound = round
+    this._follower.lastHeartbeatRound = round
     const progress = new Progress(clock, scope, sentAt.sentAtMs + 2 * timings.heartbeatMs)
     const outcome = await this._links.to(this._follower.member).call(heartbeatMethod, { ...this._address(), commitIndex }, progress)
     if (outcome.kind !== 'replied') return
@@ -119,21 +119,21 @@
   }
 
   private async _sendSnapshot (scope: Scope): Promise<boolean> {
-    const { storage } = this._core.parts
+    const { storage } = this._core.options
     const { snapshot } = storage
     if (!snapshot) return false
     const { lastIndex, lastTerm, lengthBytes: totalBytes } = snapshot
     let offsetBytes = 0
     for (;;) {
-      const bytes = await scope.race(storage.readSnapshotPart(snapshot, offsetBytes, SNAPSHOT_PIECE_BYTES))
-      // A later snapshot has taken its place.
+      const bytes = await scope.race(storage.readSnapshotChunk(snapshot, offsetBytes, SNAPSHOT_CHUNK_BYTES))
+      // A later snapshot has replaced it on disk.
       if (!bytes) return false
-      const piece = { lastIndex, lastTerm, offsetBytes, totalBytes, bytes }
-      const reply = await this._sendPiece(piece, scope)
+      const chunk = { lastIndex, lastTerm, offsetBytes, totalBytes, bytes }
+      const reply = await this._sendSnapshotChunk(chunk, scope)
       if (reply?.kind === 'installed') {
-        this._follower.matched(reply.matchIndex)
+        this._follower.recordMatch(reply.matchIndex)
         this._listener.onMatched()
-        // While a later snapshot waits for the disk, this one may end before the log begins.
+        // The in-memory log may already be compacted to a later snapshot that is still being written. Then entries before the log's base are missing and the later snapshot is needed.
         return this._follower.nextIndex > this._core.state.log.baseIndex
       }
       if (reply?.kind !== 'expecting') return false
@@ -141,13 +141,13 @@
     }
   }
 
-  private async _sendPiece (piece: { lastIndex: number, lastTerm: number, offsetBytes: number, totalBytes: number, bytes: Uint8Array }, scope: Scope): Promise<SnapshotReply | undefined> {
+  private async _sendSnapshotChunk (chunk: { lastIndex: number, lastTerm: number, offsetBytes: number, totalBytes: number, bytes: Uint8Array }, scope: Scope): Promise<SnapshotReply | undefined> {
     scope.throwIfClosed()
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     const sentAt = this._sentAt()
     const round = this._listener.nextRound()
     const progress = new Progress(clock, scope, sentAt.sentAtMs + timings.callTimeoutMs)
-    const outcome = await this._links.to(this._follower.member).call(snapshotMethod, { ...this._address(), ...piece }, progress)
+    const outcome = await this._links.to(this._follower.member).call(snapshotMethod, { ...this._address(), ...chunk }, progress)
     if (outcome.kind !== 'replied') return undefined
     if (outcome.body.kind === 'staleTerm') this._core.observeTerm(outcome.body.term)
     else if (outcome.body.kind !== 'wrongReplica') this._acknowledge(round, sentAt)
@@ -164,7 +164,7 @@
   }
 
   private _sentAt (): SentAt {
-    const { clock } = this._core.parts
+    const { clock } = this._core.options
     return { sentAtMs: clock.nowMs(), leaseMs: clock.leaseNowMs() }
   }
 
@@ -174,7 +174,7 @@
   }
 
   private async _pause (scope: Scope): Promise<void> {
-    const { clock, timings } = this._core.parts
+    const { clock, timings } = this._core.options
     await sleepUntil(clock, scope, clock.nowMs() + timings.retryPauseMs)
   }
 }
--- a/src/replication/log/voterWatch.ts
+++ b/src/replication/log/voterWatch.ts
@@ -1,7 +1,7 @@
 /**
- * Tells the leader's log which voters have fallen silent and which answer
- * again, with how many are left: the loss of the next one may be the one too
- * many, long before a quorum is lost.
+ * Logs, at the leader, which voters stop answering and which answer again, with
+ * the number that still answer. This warns while a quorum is left, when the
+ * loss of one more voter may lose it.
  */
 import { ReplicationEvent } from '../replicationEvents.js'
 import type { Leadership } from './leadership.js'
@@ -10,7 +10,7 @@
 
 export class VoterWatch {
   private readonly _replica: Replica
-  /** Silent voters of the present leadership, by replica. */
+  /** Replica ids of the voters that do not answer the current leadership. */
   private _silent = new Set<string>()
   private _leadership: Leadership | undefined
 
@@ -18,7 +18,7 @@
     this._replica = replica
   }
 
-  /** Compares once; on a host that does not lead it forgets what it knew. */
+  /** Logs the changes since the previous call. On a host that does not lead, it discards the recorded voters. */
   review (): void {
     const { leadership, core } = this._replica
     if (leadership !== this._leadership) this._silent.clear()
@@ -29,21 +29,21 @@
     const answering = voters.filter(voter => !silent.includes(voter))
     const counts = { answeringCount: answering.length, votersCount: voters.length, quorumCount: quorumCount(voters.length) }
     for (const { replicaId, hostId } of silent) {
-      if (!this._silent.has(replicaId)) this._tell(ReplicationEvent.VoterSilent, { hostId, replicaId, ...counts })
+      if (!this._silent.has(replicaId)) this._log(ReplicationEvent.VoterSilent, { hostId, replicaId, ...counts })
     }
     for (const { replicaId, hostId } of answering) {
-      if (this._silent.has(replicaId)) this._tell(ReplicationEvent.VoterAnswers, { hostId, replicaId, ...counts })
+      if (this._silent.has(replicaId)) this._log(ReplicationEvent.VoterAnswers, { hostId, replicaId, ...counts })
     }
     this._silent = new Set(silent.map(({ replicaId }) => replicaId))
   }
 
-  /** As long as its leader's quorum check allows: an election timeout without an answer. */
+  /** True after an election timeout without an answer, the same limit as in the leader's quorum check. */
   private _isSilent ({ replicaId }: Member, leadership: Leadership): boolean {
-    const { clock, timings } = this._replica.core.parts
-    return leadership.heardAtMs(replicaId) < clock.nowMs() - timings.electionMaxMs
+    const { clock, timings } = this._replica.core.options
+    return leadership.lastSeenAtMs(replicaId) < clock.nowMs() - timings.electionMaxMs
   }
 
-  private _tell (event: ReplicationEvent, fields: Record<string, string | number>): void {
-    this._replica.core.parts.logger.event(event, fields)
+  private _log (event: ReplicationEvent, fields: Record<string, string | number>): void {
+    this._replica.core.options.logger.event(event, fields)
   }
 }
