--- a/src/entry/scheduling/classQueue.ts
+++ b/src/entry/scheduling/classQueue.ts
@@ -1,7 +1,7 @@
 /**
- * The queue of one priority class at one pool: in order of arrival, but the
- * members of a group stand where its first member stands, so that the samples
- * of one rollout run close together.
+ * The queue of one priority class at one pool. It is ordered by arrival, except
+ * that all members of a group are placed at the position of its first member,
+ * so that the samples of one rollout group run close together.
  */
 import { LRUCache } from 'lru-cache'
 import type { Progress } from '../../utils/progress.js'
@@ -9,38 +9,38 @@
 import type { AssignOutcome, WorkItem } from './scheduler.js'
 
 const MAX_GROUPS = 4096
-/** A group that began longer ago than this starts again at the tail. */
+/** A request of a group whose first member arrived longer ago than this goes to the tail of the queue. */
 const GROUP_WINDOW_MS = 30_000
 
-/** One request that waits. */
+/** One queued request. */
 export interface QueuedWork {
   readonly item: WorkItem
   readonly progress: Progress
   readonly enqueuedAtMs: number
-  /** Place of its group, or its own; smaller is earlier. */
+  /** Sort key, shared by a group; the smallest is first. `sequence` breaks ties. */
   readonly order: number
   readonly sequence: number
-  /** Until then it waits for a place where its prefix is kept. */
-  readonly patienceEndsAtMs: number
-  /** Where its prefix is kept; undefined when that doesn't matter. */
+  /** Until this instant the request waits for free capacity at a home of its prefix. */
+  readonly affinityWaitEndsAtMs: number
+  /** Homes of the prompt's prefix; undefined when the request has no endpoint affinity. */
   readonly homes: PrefixHomes | undefined
-  /** How often later work of its class went before it. */
-  passedCount: number
-  /** Gives the waiting caller its outcome; called exactly once. */
+  /** How often later requests were dispatched before this one. */
+  skippedCount: number
+  /** Resolves the promise of the waiting caller. Must be called at most once. */
   settle (outcome: AssignOutcome): void
-  /** To be called once when it neither waits nor runs any more. */
-  left (): void
+  /** Must be called once, when the request is neither queued nor running any more. */
+  release (): void
 }
 
-interface GroupPlace {
+interface GroupPosition {
   order: number
   startedAtMs: number
 }
 
-/** Hands out places in the queue. */
+/** Assigns the sort keys of queued requests. */
 export class QueueOrder {
   private _sequence = 0
-  private readonly _groups = new LRUCache<string, GroupPlace>({ max: MAX_GROUPS })
+  private readonly _groups = new LRUCache<string, GroupPosition>({ max: MAX_GROUPS })
 
   next (item: WorkItem, nowMs: number): { order: number, sequence: number } {
     const sequence = ++this._sequence
@@ -70,12 +70,12 @@
     return this._bytes
   }
 
-  /** Forecast of the tokens that wait. */
+  /** Sum of the expected tokens of all queued requests. */
   get tokensCount (): number {
     return this._tokensCount
   }
 
-  /** The first ones in order, at most as many as asked for. */
+  /** The first requests in queue order, at most `limitCount`. */
   first (limitCount: number): QueuedWork[] {
     return this._waiting.slice(0, limitCount)
   }
@@ -89,23 +89,23 @@
   }
 
   add (work: QueuedWork): void {
-    this._waiting.splice(this._placeOf(work), 0, work)
+    this._waiting.splice(this._insertionIndexOf(work), 0, work)
     this._bytes += work.item.bodyBytes
     this._tokensCount += work.item.expectedTokensCount
   }
 
-  /** False when it did not wait here any more. */
+  /** @returns false if the request is no longer in this queue */
   remove (work: QueuedWork): boolean {
-    const place = this._placeOf(work) - 1
-    if (this._waiting[place] !== work) return false
-    this._waiting.splice(place, 1)
+    const index = this._insertionIndexOf(work) - 1
+    if (this._waiting[index] !== work) return false
+    this._waiting.splice(index, 1)
     this._bytes -= work.item.bodyBytes
     this._tokensCount -= work.item.expectedTokensCount
     return true
   }
 
-  /** Index behind everything that is not later than it. */
-  private _placeOf (work: QueuedWork): number {
+  /** Index after all requests that don't sort after `work`. */
+  private _insertionIndexOf (work: QueuedWork): number {
     let low = 0
     let high = this._waiting.length
     while (low < high) {
--- a/src/entry/scheduling/decisionLog.ts
+++ b/src/entry/scheduling/decisionLog.ts
@@ -1,23 +1,24 @@
 /**
- * The last decisions of the scheduler by request, for `threaddrum explain`.
- * Bounded: the oldest request is forgotten first.
+ * The most recent scheduling decisions for each request, for
+ * `threaddrum explain`. The log is bounded: the request whose last decision is
+ * the oldest is evicted first.
  */
 
 const MAX_REQUESTS = 1024
 const MAX_DECISIONS_PER_REQUEST = 8
 const MAX_CANDIDATES = 8
 
-/** An endpoint that was looked at, with what the choice was made on. */
+/** An endpoint that was considered, with the inputs of the choice. */
 export interface Candidate {
   endpointId: string
-  /** Requests that it is believed to hold, those of other hosts included. */
+  /** Estimate of the requests running and queued there, from all hosts. */
   estimatedCount: number
   ownCount: number
-  /** How many this host may have on it now. */
+  /** Requests that this host may currently have there. */
   ownLimitCount: number
   reportAgeMs: number
   msPerToken: number | undefined
-  /** Whether the prompt's prefix is kept there. */
+  /** Whether it is a home of the prompt's prefix. */
   isHome: boolean
   score: number
 }
@@ -34,7 +35,7 @@
     if (requestId === undefined) return
     const decisions = this._byRequest.get(requestId) ?? []
     if (decisions.length >= MAX_DECISIONS_PER_REQUEST) decisions.shift()
-    decisions.push(trimmed(decision))
+    decisions.push(truncateCandidates(decision))
     this._byRequest.delete(requestId)
     this._byRequest.set(requestId, decisions)
     this._forgetOldest()
@@ -55,7 +56,7 @@
   }
 }
 
-function trimmed (decision: Decision): Decision {
+function truncateCandidates (decision: Decision): Decision {
   if (decision.kind !== 'assigned') return decision
   return { ...decision, candidates: decision.candidates.slice(0, MAX_CANDIDATES) }
 }
--- a/src/entry/scheduling/endpointChoice.ts
+++ b/src/entry/scheduling/endpointChoice.ts
@@ -1,7 +1,9 @@
 /**
- * Which of the open endpoints gets a request: of two random ones and the open
- * homes of its prefix, the one with the lowest score. The score is the load it
- * would have, made worse by slowness and failures, less what a home saves.
+ * Chooses the endpoint for a request among those with free capacity. Two random
+ * endpoints and the available homes of the request's prefix are compared, and
+ * the one with the lowest score is chosen. The score is the relative load with
+ * the request added, multiplied by penalties for slowness and failures, minus a
+ * bonus for a home.
  */
 import type { EndpointPoolSpec } from '../../protocol/resources.js'
 import type { RandomSource } from '../../utils/randomSource.js'
@@ -9,19 +11,19 @@
 import type { EndpointState } from './endpointState.js'
 
 const RANDOM_CHOICES = 2
-/** A home is preferred until it has so much more load, as part of the capacity. */
-const HOME_GAIN = 1
+/** A home is preferred until its load exceeds that of others by this fraction of the capacity. */
+const HOME_BONUS = 1
 const FAILURE_PENALTY = 2
 
 export interface ChoiceInput {
-  /** Endpoints that may take the request now; at least one. */
+  /** Endpoints that can take the request now; at least one. */
   open: EndpointState[]
-  /** Endpoints that probably have its prefix cached. */
+  /** Endpoints that probably have the prefix of the prompt in their cache. */
   homes: Set<string>
   spec: EndpointPoolSpec
-  /** Typical time a token takes in this pool. */
-  usualMsPerToken: number | undefined
-  /** How many times as long as usual a token takes, by the endpoint's own reports. */
+  /** Average time per token in this pool; undefined before the first success. */
+  typicalMsPerToken: number | undefined
+  /** Time per token relative to the median of the pool, from the endpoints' load reports. */
   reportedSlowness: (state: EndpointState) => number
   nowMs: number
 }
@@ -33,20 +35,20 @@
 }
 
 export function chooseEndpoint (input: ChoiceInput, random: RandomSource): Choice | undefined {
-  const looked = pickCandidates(input, random)
-  const candidates = looked.map(state => describe(state, input))
+  const considered = pickCandidates(input, random)
+  const candidates = considered.map(state => describe(state, input))
   const best = candidates.reduce<Candidate | undefined>((a, b) => a && a.score <= b.score ? a : b, undefined)
-  const chosen = looked.find(state => state.endpointId === best?.endpointId)
+  const chosen = considered.find(state => state.endpointId === best?.endpointId)
   if (!best || !chosen) return undefined
-  const reason = `lowest score of ${candidates.length}${best.isHome ? ', a home of its prefix' : ''}`
+  const reason = `lowest score of ${candidates.length} candidates${best.isHome ? ', a home of the prefix' : ''}`
   return { chosen, reason, candidates }
 }
 
 function pickCandidates ({ open, homes }: ChoiceInput, random: RandomSource): EndpointState[] {
   const picked = open.filter(state => homes.has(state.endpointId))
-  const left = open.filter(state => !homes.has(state.endpointId))
-  for (let count = 0; count < RANDOM_CHOICES && left.length > 0; count++) {
-    picked.push(...left.splice(random.int(0, left.length - 1), 1))
+  const others = open.filter(state => !homes.has(state.endpointId))
+  for (let count = 0; count < RANDOM_CHOICES && others.length > 0; count++) {
+    picked.push(...others.splice(random.int(0, others.length - 1), 1))
   }
   return picked
 }
@@ -55,7 +57,7 @@
   const isHome = input.homes.has(state.endpointId)
   const { health, record } = state
   const load = (state.estimatedCount + 1) / state.capacityCount(input.spec)
-  const slowness = Math.max(health.slowness(input.usualMsPerToken, input.nowMs), input.reportedSlowness(state))
+  const slowness = Math.max(health.slowness(input.typicalMsPerToken, input.nowMs), input.reportedSlowness(state))
   const unreliability = 1 + FAILURE_PENALTY * health.failureRate(input.nowMs)
   return {
     endpointId: state.endpointId,
@@ -65,6 +67,6 @@
     reportAgeMs: Math.round(input.nowMs - record.loadAtMs),
     msPerToken: health.msPerToken,
     isHome,
-    score: load * slowness * unreliability - (isHome ? HOME_GAIN : 0)
+    score: load * slowness * unreliability - (isHome ? HOME_BONUS : 0)
   }
 }
--- a/src/entry/scheduling/endpointState.ts
+++ b/src/entry/scheduling/endpointState.ts
@@ -1,45 +1,47 @@
 /**
- * One endpoint as this host sees it: its last announcement, what this host has
- * running there, and how many it may have there.
+ * One endpoint as seen by this host: its last announcement, the requests that
+ * this host has running there, and the limit of such requests.
  *
- * Several hosts share an endpoint and each sees its load late, so none may
- * take all of what the last report shows free. A host may have its equal part
- * of the endpoint at any time. Beyond that it takes a part of the free places
- * of each report: the part that it has of the running requests, or an equal
- * part where that is more. When the report shows more than the endpoint can
- * run, hosts above their equal part give back in proportion.
+ * Several hosts share an endpoint and each sees its load with a delay, so no
+ * host may take all of the capacity that the last report shows as free. A host
+ * may use an equal share of the endpoint at any time. Beyond that, it takes a
+ * fraction of the free capacity of each report: its fraction of the running
+ * requests, or an equal share if that is larger. When a report shows more
+ * requests than the endpoint can run, hosts above their equal share reduce
+ * their limit proportionally.
  */
 import { EndpointKind, type EndpointPoolSpec } from '../../protocol/resources.js'
 import type { RandomSource } from '../../utils/randomSource.js'
 import type { EndpointRecord } from '../directory/endpointRecord.js'
 import { EndpointHealth } from './endpointHealth.js'
-import { OwnHistory } from './ownHistory.js'
+import { OwnRequestHistory } from './ownHistory.js'
 
 /**
- * Engines queue by priority, so each is given a little more than it runs: a
- * place that frees there goes to the most urgent request of any host.
+ * Requests that each host may queue at an engine beyond the engine's capacity.
+ * Engines queue by priority, so freed capacity goes to the most urgent queued
+ * request of any host.
  */
-const WAITING_PER_HOST = 0
-const MAX_WAITING_FRACTION = 1
-/** What a host may send of the best-paid work beyond its limit. */
+const ENGINE_QUEUE_PER_HOST = 0
+const MAX_ENGINE_QUEUE_FRACTION = 1
+/** Requests of the best-paid class that a host may send beyond its limit. */
 const URGENT_EXTRA_COUNT = 4
-/** Not to an engine where this part of what it runs waits already. */
-const URGENT_WAITING_FRACTION = 1
-/** With fewer running, a reported speed says little. */
-const MIN_RUNNING_COUNT = 3
+/** No such request is sent to an engine whose queue exceeds this fraction of its capacity. */
+const MAX_URGENT_QUEUE_FRACTION = 1
+/** With fewer running requests, the reported speed is not representative. */
+const MIN_RUNNING_COUNT_FOR_SPEED = 3
 const SPEED_SMOOTHING = 0.4
-/** With this part of it free, every host may send one, however small its equal part is. */
-const ROOMY_FRACTION = 0.5
-/** With its KV memory this full, an engine would only make requests wait. */
+/** If this fraction of the capacity is free, every host may send one request, however small its share is. */
+const MOSTLY_FREE_FRACTION = 0.5
+/** An engine whose KV cache is this full would only queue further requests. */
 const KV_FULL_PERCENT = 95
 
 export class EndpointState {
   record: EndpointRecord
   readonly health = new EndpointHealth()
-  private readonly _own = new OwnHistory()
-  /** Time of a token in one stream, by its reports, smoothed; undefined before it had enough to run. */
+  private readonly _ownHistory = new OwnRequestHistory()
+  /** Smoothed time per token of one stream, from the load reports; undefined before a representative report. */
   reportedMsPerToken: number | undefined
-  private _ownAtReport = 0
+  private _ownCountAtReport = 0
   private _limitCount = 0
   private _refusedSinceReport = false
 
@@ -52,85 +54,85 @@
   }
 
   get ownCount (): number {
-    return this._own.count
+    return this._ownHistory.count
   }
 
-  /** What it runs and has waiting, as of the last report, with this host's part of today. */
+  /** Requests running and queued there: those of other hosts by the last report, those of this host as of now. */
   get estimatedCount (): number {
-    return Math.max(0, this._reportedCount - this._ownAtReport) + this._own.count
+    return Math.max(0, this._reportedCount - this._ownCountAtReport) + this._ownHistory.count
   }
 
-  /** How many requests this host may have there now. */
+  /** Requests that this host may currently have there. */
   get ownLimitCount (): number {
-    const limitCount = this._refusedSinceReport ? Math.min(this._limitCount, this._own.count) : this._limitCount
+    const limitCount = this._refusedSinceReport ? Math.min(this._limitCount, this._ownHistory.count) : this._limitCount
     return Math.min(limitCount, this.health.slowStartCount)
   }
 
-  get hasPlace (): boolean {
-    return this._own.count < this.ownLimitCount
+  get hasCapacity (): boolean {
+    return this._ownHistory.count < this.ownLimitCount
   }
 
   /**
-   * Whether the best-paid work may go there: an engine takes it ahead of what
-   * waits there, so it need not wait here for a place of this host.
+   * Whether the best-paid class may send a request: an engine runs it before
+   * the requests queued there, so it doesn't have to wait for this host's limit.
    */
-  get hasPlaceForUrgent (): boolean {
-    if (this.hasPlace) return true
+  get hasUrgentCapacity (): boolean {
+    if (this.hasCapacity) return true
     const { endpointKind, load, maxConcurrentCount } = this.record.announcement
-    const mayPass = endpointKind === EndpointKind.Engine && this.health.slowStartCount === Infinity && !this._refusedSinceReport
-    if (!mayPass || load.waitingCount > URGENT_WAITING_FRACTION * maxConcurrentCount) return false
-    return this._own.count < this._limitCount + URGENT_EXTRA_COUNT
+    const acceptsUrgent = endpointKind === EndpointKind.Engine && this.health.slowStartCount === Infinity && !this._refusedSinceReport
+    if (!acceptsUrgent || load.waitingCount > MAX_URGENT_QUEUE_FRACTION * maxConcurrentCount) return false
+    return this._ownHistory.count < this._limitCount + URGENT_EXTRA_COUNT
   }
 
   capacityCount (spec: EndpointPoolSpec): number {
     return Math.min(this.record.announcement.maxConcurrentCount, spec.maxConcurrentCount)
   }
 
-  /** Takes over a newer announcement. */
+  /** Applies a newer announcement. */
   update (record: EndpointRecord): void {
-    const restarted = record.announcement.incarnation !== this.record.announcement.incarnation
-    if (restarted) this._startAnew()
+    const isRestarted = record.announcement.incarnation !== this.record.announcement.incarnation
+    if (isRestarted) this._resetAfterRestart()
     const isNewReport = record.loadAtMs > this.record.loadAtMs
     this.record = record
-    if (isNewReport) this._noteSpeed()
+    if (isNewReport) this._recordSpeed()
   }
 
-  /** Works out the limit after a new report or a changed number of hosts. */
-  setLimit (spec: EndpointPoolSpec, hostsCount: number, random: RandomSource): void {
-    this._own.forgetBefore(this.record.loadAtMs)
-    this._ownAtReport = this._own.countAt(this.record.loadAtMs)
+  /** Must be called after a new load report and when the pool's settings or the number of hosts change. */
+  recomputeLimit (spec: EndpointPoolSpec, hostsCount: number, random: RandomSource): void {
+    this._ownHistory.forgetBefore(this.record.loadAtMs)
+    this._ownCountAtReport = this._ownHistory.countAt(this.record.loadAtMs)
     this._refusedSinceReport = false
     const capacityCount = this.capacityCount(spec)
-    const placesCount = capacityCount + this._waitingCount(capacityCount, hostsCount)
-    const limit = Math.min(placesCount, this._shareOf(placesCount, hostsCount))
+    const admissibleCount = capacityCount + this._engineQueueCount(capacityCount, hostsCount)
+    const limit = Math.min(admissibleCount, this._hostLimitOf(admissibleCount, hostsCount))
     this._limitCount = Math.floor(limit + random.real())
     this.health.endSlowStart(capacityCount)
   }
 
-  began (nowMs: number): void {
-    this._own.began(nowMs)
+  started (nowMs: number): void {
+    this._ownHistory.started(nowMs)
   }
 
   ended (nowMs: number): void {
-    this._own.ended(nowMs)
+    this._ownHistory.ended(nowMs)
   }
 
-  /** It said that it can't take more: nothing new until its next report. */
-  refused (): void {
+  /** The endpoint refused a request for lack of capacity: no further ones are sent until its next report. */
+  recordRefusal (): void {
     this._refusedSinceReport = true
   }
 
-  private _startAnew (): void {
-    this.health.startSlowly()
+  private _resetAfterRestart (): void {
+    this.health.beginSlowStart()
     this.reportedMsPerToken = undefined
   }
 
-  private _noteSpeed (): void {
+  private _recordSpeed (): void {
     const { runningCount, tokensPerSecond } = this.record.announcement.load
-    if (runningCount < MIN_RUNNING_COUNT || tokensPerSecond === 0) return
+    if (runningCount < MIN_RUNNING_COUNT_FOR_SPEED || tokensPerSecond === 0) return
     const msPerToken = 1000 * runningCount / tokensPerSecond
-    const old = this.reportedMsPerToken ?? msPerToken
-    this.reportedMsPerToken = old + SPEED_SMOOTHING * (msPerToken - old)
+    const previous = this.reportedMsPerToken ?? msPerToken
+    this.reportedMsPerToken = previous + SPEED_SMOOTHING * (msPerToken - previous)
   }
 
   private get _reportedCount (): number {
@@ -138,19 +140,19 @@
     return runningCount + waitingCount
   }
 
-  private _waitingCount (capacityCount: number, hostsCount: number): number {
+  private _engineQueueCount (capacityCount: number, hostsCount: number): number {
     if (this.record.announcement.endpointKind !== EndpointKind.Engine) return 0
-    return Math.min(MAX_WAITING_FRACTION * capacityCount, WAITING_PER_HOST * hostsCount)
-  }
-
-  private _shareOf (placesCount: number, hostsCount: number): number {
-    const totalCount = Math.max(this._reportedCount, this._ownAtReport)
-    const ownPart = totalCount > 0 ? this._ownAtReport / totalCount : 0
-    const freeCount = placesCount - totalCount
-    const equalPart = placesCount / hostsCount
-    if (freeCount < 0) return Math.max(equalPart * placesCount / totalCount, this._ownAtReport + freeCount * ownPart)
-    if (this.record.announcement.load.kvUsedPercent >= KV_FULL_PERCENT) return this._ownAtReport
-    const leastCount = freeCount >= ROOMY_FRACTION * placesCount ? 1 : 0
-    return Math.max(leastCount, equalPart, this._ownAtReport + freeCount * Math.max(ownPart, 1 / hostsCount))
+    return Math.min(MAX_ENGINE_QUEUE_FRACTION * capacityCount, ENGINE_QUEUE_PER_HOST * hostsCount)
+  }
+
+  private _hostLimitOf (admissibleCount: number, hostsCount: number): number {
+    const totalCount = Math.max(this._reportedCount, this._ownCountAtReport)
+    const ownShare = totalCount > 0 ? this._ownCountAtReport / totalCount : 0
+    const freeCount = admissibleCount - totalCount
+    const equalShareCount = admissibleCount / hostsCount
+    if (freeCount < 0) return Math.max(equalShareCount * admissibleCount / totalCount, this._ownCountAtReport + freeCount * ownShare)
+    if (this.record.announcement.load.kvUsedPercent >= KV_FULL_PERCENT) return this._ownCountAtReport
+    const minCount = freeCount >= MOSTLY_FREE_FRACTION * admissibleCount ? 1 : 0
+    return Math.max(minCount, equalShareCount, this._ownCountAtReport + freeCount * Math.max(ownShare, 1 / hostsCount))
   }
 }
--- a/src/entry/scheduling/fairShare.ts
+++ b/src/entry/scheduling/fairShare.ts
@@ -1,48 +1,51 @@
 /**
  * Weighted fair queueing between priority classes (start-time fair queueing,
- * Goyal, Vin and Cheng 1996): each class has a virtual time which advances by
- * the tokens it was given over its weight, and the class that is furthest
- * behind goes next. A class which comes back from idleness starts where the
- * one that is furthest behind stands, less a small credit: without it a class
- * that asks for less than its share, a request at a time, would wait for a
- * turn of the others after each request. (The start of the work last served
- * won't do as a mark: work whose endpoint is free may go before that of a
- * class further behind.)
+ * Goyal, Vin and Cheng 1996): each class has a virtual time that advances by
+ * the tokens it was given, divided by its share, and the class with the lowest
+ * virtual time is served next. A class that was idle continues at the lowest
+ * virtual time of the others, minus a small credit. Without the credit, a class
+ * that sends one request at a time and uses less than its share would wait for
+ * the other classes after each request. The start time of the work served last
+ * is not used as the reference, because a class with a higher virtual time may
+ * be served first if its endpoint is free.
  *
- * The weights are what the classes pay, raised where needed so that every
- * class has its guaranteed share. This takes the place of ageing by waiting
- * time: the lowest class's virtual time falls behind as the others are served,
- * so its turn comes after a bounded amount of their work.
+ * The shares follow from the paid weights, raised where needed to the
+ * guaranteed share of a class. This replaces ageing by waiting time: the
+ * virtual time of the lowest class falls behind while the others are served, so
+ * it is served after a bounded amount of their work.
  */
 import type { PriorityClassSpec } from '../../protocol/resources.js'
 
 export interface ClassWeight {
   className: string
-  /** Share of the endpoints when all classes have work, in (0, 1]. */
+  /** Fraction of the endpoints when all classes have work, in (0, 1]. */
   share: number
 }
 
-interface ClassTerms {
+interface ClassConfiguration {
   className: string
   spec: PriorityClassSpec
 }
 
-/** Shares by paid weight, none under its guaranteed percentage; they add up to 1. */
-export function classShares (classes: ClassTerms[]): Map<string, number> {
+/**
+ * Shares in proportion to the paid weights, none below its guaranteed percentage; they add up to 1.
+ * Guaranteed percentages that add up to more than 100 are scaled down.
+ */
+export function classShares (classes: ClassConfiguration[]): Map<string, number> {
   const guaranteedTotal = sum(classes.map(({ spec }) => spec.minSharePercent)) / 100
   const scale = guaranteedTotal > 1 ? 1 / guaranteedTotal : 1
-  const floorOf = ({ spec }: ClassTerms): number => spec.minSharePercent / 100 * scale
+  const minShareOf = ({ spec }: ClassConfiguration): number => spec.minSharePercent / 100 * scale
   const shares = new Map<string, number>()
-  let open = [...classes]
-  while (open.length > 0) {
-    const left = 1 - sum([...shares.values()])
-    const paidTotal = sum(open.map(({ spec }) => spec.paidWeight))
-    const shareOf = ({ spec }: ClassTerms): number => left * spec.paidWeight / paidTotal
-    const raised = open.filter(terms => shareOf(terms) < floorOf(terms))
-    const settled = raised.length > 0 ? raised : open
-    const values = settled.map(terms => raised.length > 0 ? floorOf(terms) : shareOf(terms))
-    settled.forEach((terms, index) => shares.set(terms.className, values[index] ?? 0))
-    open = open.filter(terms => !settled.includes(terms))
+  let unassigned = [...classes]
+  while (unassigned.length > 0) {
+    const remainingShare = 1 - sum([...shares.values()])
+    const paidTotal = sum(unassigned.map(({ spec }) => spec.paidWeight))
+    const shareOf = ({ spec }: ClassConfiguration): number => remainingShare * spec.paidWeight / paidTotal
+    const belowMinimum = unassigned.filter(candidate => shareOf(candidate) < minShareOf(candidate))
+    const assigned = belowMinimum.length > 0 ? belowMinimum : unassigned
+    const values = assigned.map(candidate => belowMinimum.length > 0 ? minShareOf(candidate) : shareOf(candidate))
+    assigned.forEach((candidate, index) => shares.set(candidate.className, values[index] ?? 0))
+    unassigned = unassigned.filter(candidate => !assigned.includes(candidate))
   }
   return shares
 }
@@ -51,56 +54,58 @@
   return values.reduce((total, value) => total + value, 0)
 }
 
-/** A class without work saves up its share of so many tokens of all classes. */
-const CREDIT_TOKENS = 4000
-const SMALLEST_SHARE = 1e-6
+/** Credit of a class that was idle: its share of this many tokens. */
+const IDLE_CREDIT_TOKENS = 4000
+const MIN_SHARE = 1e-6
 
 /** The virtual times of the classes at one pool. */
 export class FairShare {
   private _shares = new Map<string, number>()
   private readonly _virtualTimes = new Map<string, number>()
-  private _latestStart = 0
+  private _latestStartTime = 0
 
-  /** Takes over shares that were changed by the operators. */
   setShares (shares: Map<string, number>): void {
     this._shares = shares
   }
 
   shareOf (className: string): number {
-    return Math.max(SMALLEST_SHARE, this._shares.get(className) ?? 0)
+    return Math.max(MIN_SHARE, this._shares.get(className) ?? 0)
   }
 
-  /** To be called when a class that had no work gets some; the others are those that have. */
+  /**
+   * Must be called when an idle class gets work.
+   * @param others the classes that have work already
+   */
   activate (className: string, others: string[]): void {
-    const current = others.length > 0 ? Math.min(...others.map(name => this._timeOf(name))) : this._latestStart
-    this._virtualTimes.set(className, Math.max(this._timeOf(className), current - CREDIT_TOKENS))
+    const lowestVirtualTime = others.length > 0 ? Math.min(...others.map(name => this._virtualTimeOf(name))) : this._latestStartTime
+    this._virtualTimes.set(className, Math.max(this._virtualTimeOf(className), lowestVirtualTime - IDLE_CREDIT_TOKENS))
   }
 
-  /** Charges a class for work that starts. */
+  /** Charges a class for the expected tokens of work that starts. */
   charge (className: string, tokensCount: number): void {
-    const startTime = this._timeOf(className)
-    this._latestStart = Math.max(this._latestStart, startTime)
+    const startTime = this._virtualTimeOf(className)
+    this._latestStartTime = Math.max(this._latestStartTime, startTime)
     this._virtualTimes.set(className, startTime + tokensCount / this.shareOf(className))
   }
 
-  /** Corrects an earlier charge, when the work turned out longer or shorter. */
+  /** Adjusts an earlier charge by the difference between the actual and the expected tokens. */
   correct (className: string, tokensCount: number): void {
-    this._virtualTimes.set(className, this._timeOf(className) + tokensCount / this.shareOf(className))
+    this._virtualTimes.set(className, this._virtualTimeOf(className) + tokensCount / this.shareOf(className))
   }
 
-  /** The given classes, the one whose turn it is first. */
-  inTurn (classNames: string[]): string[] {
-    return [...classNames].sort((a, b) => this._timeOf(a) - this._timeOf(b) || this.shareOf(b) - this.shareOf(a))
+  /** The given classes, the one to be served next first. */
+  inServiceOrder (classNames: string[]): string[] {
+    return [...classNames].sort((a, b) => this._virtualTimeOf(a) - this._virtualTimeOf(b) || this.shareOf(b) - this.shareOf(a))
   }
 
-  /** Whether a class gets more than some other, and none gets more than it. */
+  /** Whether no class has a larger share, and at least one has a smaller one. */
   isBestPaid (className: string): boolean {
     const shares = [...this._shares.values()]
     const share = this.shareOf(className)
     return share >= Math.max(...shares) && share > Math.min(...shares)
   }
 
-  private _timeOf (className: string): number {
+  private _virtualTimeOf (className: string): number {
     return this._virtualTimes.get(className) ?? 0
   }
 }
--- a/src/entry/scheduling/ownHistory.ts
+++ b/src/entry/scheduling/ownHistory.ts
@@ -1,26 +1,26 @@
 /**
- * How many requests this host had on an endpoint at a past instant. A load
- * report is true for the moment it was made, so it is corrected by what this
- * host has sent and finished since then.
+ * The number of requests that this host had at an endpoint at a past instant. A
+ * load report describes the instant at which it was made, so it is corrected by
+ * the requests that this host has started and finished since.
  */
 
-/** More steps than that since the last report are not told apart. */
-const MAX_STEPS = 1024
+/** The oldest entries are dropped above this count, which makes `countAt` inexact for earlier instants. */
+const MAX_ENTRIES = 1024
 
-interface Step {
+interface HistoryEntry {
   atMs: number
   count: number
 }
 
-export class OwnHistory {
+export class OwnRequestHistory {
   private _count = 0
-  private _steps: Step[] = [{ atMs: -Infinity, count: 0 }]
+  private _entries: HistoryEntry[] = [{ atMs: -Infinity, count: 0 }]
 
   get count (): number {
     return this._count
   }
 
-  began (nowMs: number): void {
+  started (nowMs: number): void {
     this._set(nowMs, this._count + 1)
   }
 
@@ -28,23 +28,23 @@
     this._set(nowMs, this._count - 1)
   }
 
-  /** The count at an instant that is not before the last `forgetBefore`. */
+  /** @param atMs not before the argument of the last `forgetBefore` call */
   countAt (atMs: number): number {
-    for (let index = this._steps.length - 1; index >= 0; index--) {
-      const step = this._steps[index] as Step
-      if (step.atMs <= atMs) return step.count
+    for (let index = this._entries.length - 1; index >= 0; index--) {
+      const entry = this._entries[index] as HistoryEntry
+      if (entry.atMs <= atMs) return entry.count
     }
-    return this._steps[0]?.count ?? 0
+    return this._entries[0]?.count ?? 0
   }
 
   forgetBefore (atMs: number): void {
-    const firstNeeded = this._steps.findLastIndex(step => step.atMs <= atMs)
-    if (firstNeeded > 0) this._steps.splice(0, firstNeeded)
+    const firstNeededIndex = this._entries.findLastIndex(entry => entry.atMs <= atMs)
+    if (firstNeededIndex > 0) this._entries.splice(0, firstNeededIndex)
   }
 
   private _set (nowMs: number, count: number): void {
     this._count = count
-    this._steps.push({ atMs: nowMs, count })
-    if (this._steps.length > MAX_STEPS) this._steps.shift()
+    this._entries.push({ atMs: nowMs, count })
+    if (this._entries.length > MAX_ENTRIES) this._entries.shift()
   }
 }
--- a/src/entry/scheduling/poolQueue.ts
+++ b/src/entry/scheduling/poolQueue.ts
@@ -1,22 +1,22 @@
 /**
- * What waits at one pool, over all priority classes, bounded in count and
- * bytes. When it is full, the class that is furthest over its share gives up
- * its last request, so that a flood of one class doesn't shut out the others.
+ * The queues of all priority classes of one pool, bounded in total count and
+ * bytes. When they are full, the last request of the class that most exceeds its
+ * share is evicted, so that a flood of one class doesn't block the others.
  */
 import type { EndpointPoolSpec } from '../../protocol/resources.js'
 import { ClassQueue, type QueuedWork } from './classQueue.js'
 import type { FairShare } from './fairShare.js'
 import type { WorkItem } from './scheduler.js'
 
-/** Work for idle endpoints waits apart from the classes, behind all of them. */
-const IDLE_QUEUE = ''
+/** Work for idle endpoints has a queue of its own, which is served after all classes. */
+const IDLE_QUEUE_NAME = ''
 
 export type MakeRoomOutcome = { kind: 'fits', evicted: QueuedWork[] } | { kind: 'full', message: string }
 
 export class PoolQueue {
   private readonly _fairShare: FairShare
   private readonly _queues = new Map<string, ClassQueue>()
-  private readonly _idle = new ClassQueue(IDLE_QUEUE)
+  private readonly _idle = new ClassQueue(IDLE_QUEUE_NAME)
   private _count = 0
   private _bytes = 0
 
@@ -36,7 +36,7 @@
     return this._idle
   }
 
-  /** How much waits, by class; work for idle endpoints is not in it. */
+  /** Queue length by class, without work for idle endpoints. */
   counts (): Array<[string, number]> {
     return [...this._queues.values()].map(queue => [queue.className, queue.count])
   }
@@ -45,8 +45,8 @@
     return this._queues.get(className)?.tokensCount ?? 0
   }
 
-  /** Names of the classes that have work waiting. */
-  backlogged (): string[] {
+  /** Names of the classes with queued work, without work for idle endpoints. */
+  backloggedClasses (): string[] {
     return [...this._queues.values()].filter(queue => queue.count > 0).map(queue => queue.className)
   }
 
@@ -60,13 +60,13 @@
 
   add (work: QueuedWork): void {
     const queue = this._queueOf(work.item)
-    if (queue.count === 0 && queue !== this._idle) this._fairShare.activate(queue.className, this.backlogged())
+    if (queue.count === 0 && queue !== this._idle) this._fairShare.activate(queue.className, this.backloggedClasses())
     queue.add(work)
     this._count += 1
     this._bytes += work.item.bodyBytes
   }
 
-  /** False when it was not waiting any more. */
+  /** @returns false if the request is no longer queued */
   remove (work: QueuedWork): boolean {
     if (!this._queueOf(work.item).remove(work)) return false
     this._count -= 1
@@ -74,18 +74,18 @@
     return true
   }
 
-  /** Takes out what must give way for the item, or says that the item doesn't fit. */
+  /** Removes requests that have to be evicted for the item, or reports that the item doesn't fit. */
   makeRoomFor (item: WorkItem, pool: EndpointPoolSpec, classMaxCount: number): MakeRoomOutcome {
     const ownCount = this._queueOf(item).count
-    if (ownCount >= classMaxCount) return { kind: 'full', message: `${ownCount} requests of class ${item.priorityClass} wait already` }
-    if (item.bodyBytes > pool.maxQueuedBytes) return { kind: 'full', message: `a body of ${item.bodyBytes} bytes exceeds the queue's bound` }
+    if (ownCount >= classMaxCount) return { kind: 'full', message: `the queue of class ${item.priorityClass} is full with ${ownCount} requests` }
+    if (item.bodyBytes > pool.maxQueuedBytes) return { kind: 'full', message: `a body of ${item.bodyBytes} bytes exceeds the queue's limit of ${pool.maxQueuedBytes} bytes` }
     const victims = this._victimsFor(item, pool)
-    if (!victims) return { kind: 'full', message: `${this._count} requests with ${this._bytes} bytes wait already` }
+    if (!victims) return { kind: 'full', message: `the queue is full with ${this._count} requests of ${this._bytes} bytes in total` }
     for (const victim of victims) this.remove(victim)
     return { kind: 'fits', evicted: victims }
   }
 
-  /** Undefined when the item's own class is the one that must give way. */
+  /** @returns undefined if evicting requests of other classes can't make room */
   private _victimsFor (item: WorkItem, pool: EndpointPoolSpec): QueuedWork[] | undefined {
     const victims: QueuedWork[] = []
     let count = this._count + 1
@@ -101,7 +101,7 @@
     return count <= pool.maxQueuedCount && bytes <= pool.maxQueuedBytes ? victims : undefined
   }
 
-  /** The waiting work of the queue furthest over its share, last first; none when that is the item's own. */
+  /** Requests of the queue that most exceeds its share, last first; empty if that is the item's own queue. */
   private _furthestOverShare (item: WorkItem): QueuedWork[] {
     const own = this._queueOf(item)
     if (this._idle.count > 0 && own !== this._idle) return this._idle.all().reverse()
--- a/src/entry/scheduling/prefixHomes.ts
+++ b/src/entry/scheduling/prefixHomes.ts
@@ -1,26 +1,27 @@
 /**
- * Where the prefix of a prompt is kept. The engines' cache events come late
- * and with gaps, so the hosts don't follow the caches: each prefix has homes,
- * a few endpoints that every host computes alike (rendezvous hashing), and the
- * more of the traffic shares the prefix the more homes it has. So an engine's
- * limited cache holds few prefixes, and hosts agree without talking.
+ * Prefix affinity: the home endpoints of a prompt's prefix. The engines' cache
+ * events arrive late and with gaps, so hosts don't track the caches. Instead,
+ * each prefix has a few home endpoints, which every host computes identically
+ * by rendezvous hashing; the larger the prefix's share of the traffic, the more
+ * homes it has. So the limited cache of an engine holds few prefixes, and hosts
+ * agree without communicating.
  *
- * A home is a property of the prompt, not a claim that something is cached:
- * after a swap of weights the first request fills the cache for the new
- * version again, at the same place.
+ * A home is a property of the prompt and doesn't imply that the prefix is
+ * cached there: after a swap of weights, the first request fills the cache of
+ * the same endpoint for the new version.
  */
 import { LRUCache } from 'lru-cache'
 import createHasher from 'xxhash-wasm'
 
-const SHORTEST_PREFIX_LENGTH = 256
-/** Prefixes of 256 characters, 512, and so on up to 16384. */
+const MIN_PREFIX_LENGTH = 256
+/** Prefixes have 256, 512, and so on up to 16384 characters. */
 const LEVELS_COUNT = 7
 const MAX_PREFIXES = 8192
-const HALF_LIFE_MS = 30_000
-/** A prefix that more of the traffic shares tells nothing; a longer one is looked at. */
+const POPULARITY_HALF_LIFE_MS = 30_000
+/** A prefix with a larger share of the traffic doesn't distinguish requests; a longer one is used. */
 const MAX_TRAFFIC_SHARE = 0.5
-/** Homes of a prefix carry this much more than its part of the traffic. */
-const HEADROOM = 1.25
+/** Capacity of a prefix's homes relative to its share of the traffic. */
+const HOME_HEADROOM_FACTOR = 1.25
 
 const hasher = await createHasher()
 
@@ -30,7 +31,7 @@
   let hash = 0
   let start = 0
   for (let level = 0; level < LEVELS_COUNT && start < text.length; level++) {
-    const end = SHORTEST_PREFIX_LENGTH * 2 ** level
+    const end = MIN_PREFIX_LENGTH * 2 ** level
     hash = hasher.h32(text.slice(start, end), hash)
     keys.push(hash)
     start = end
@@ -43,13 +44,13 @@
   atMs: number
 }
 
-/** How much of the recent traffic shares a prefix. */
+/** The share of the recent traffic that each prefix has. */
 export class PrefixPopularity {
   private readonly _prefixes = new LRUCache<number, Popularity>({ max: MAX_PREFIXES })
   private readonly _total: Popularity = { weight: 0, atMs: 0 }
 
-  /** Counts a request with these prefixes in. */
-  note (keys: number[], nowMs: number): void {
+  /** Records a request with these prefixes. */
+  record (keys: number[], nowMs: number): void {
     add(this._total, nowMs)
     for (const key of keys) {
       const popularity = this._prefixes.get(key) ?? { weight: 0, atMs: nowMs }
@@ -67,7 +68,7 @@
 }
 
 function decayed ({ weight, atMs }: Popularity, nowMs: number): number {
-  return weight * 2 ** (-(nowMs - atMs) / HALF_LIFE_MS)
+  return weight * 2 ** (-(nowMs - atMs) / POPULARITY_HALF_LIFE_MS)
 }
 
 function add (popularity: Popularity, nowMs: number): void {
@@ -79,7 +80,7 @@
 export class PrefixHomes {
   private readonly _key: number
   private readonly _trafficShare: number
-  private _rankedFor: readonly string[] = []
+  private _rankedEndpointIds: readonly string[] = []
   private _homes = new Set<string>()
 
   constructor (key: number, trafficShare: number) {
@@ -87,11 +88,11 @@
     this._trafficShare = trafficShare
   }
 
-  /** Of these endpoints, those that are homes. The same array is ranked only once. */
+  /** The homes among these endpoints. The ranking is cached by the identity of the array. */
   among (endpointIds: readonly string[]): Set<string> {
-    if (this._rankedFor === endpointIds) return this._homes
-    const count = Math.ceil(this._trafficShare * endpointIds.length * HEADROOM)
-    this._rankedFor = endpointIds
+    if (this._rankedEndpointIds === endpointIds) return this._homes
+    const count = Math.ceil(this._trafficShare * endpointIds.length * HOME_HEADROOM_FACTOR)
+    this._rankedEndpointIds = endpointIds
     this._homes = new Set(this._rank(endpointIds).slice(0, Math.max(1, count)))
     return this._homes
   }
@@ -102,11 +103,11 @@
   }
 }
 
-/** Undefined when the prompt has no prefix that would tell endpoints apart. */
+/** @returns undefined when the prompt has no prefix that justifies endpoint affinity */
 export function homesFor (text: string | undefined, popularity: PrefixPopularity, nowMs: number): PrefixHomes | undefined {
   if (!text) return undefined
   const keys = prefixKeys(text)
-  popularity.note(keys, nowMs)
+  popularity.record(keys, nowMs)
   for (const key of keys) {
     const share = popularity.shareOf(key, nowMs)
     if (share <= MAX_TRAFFIC_SHARE) return new PrefixHomes(key, share)
--- a/src/entry/scheduling/scheduler.ts
+++ b/src/entry/scheduling/scheduler.ts
@@ -1,48 +1,48 @@
 /**
- * The contract between those who have work for an endpoint (caller requests,
- * service calls, samples) and the queue that decides when it runs and where.
+ * The interface between components with work for an endpoint (caller requests,
+ * service calls, samples) and the scheduler that decides when and where it runs.
  */
 import type { RefusalReason, RetryReason } from '../../protocol/refusals.js'
 import type { Progress } from '../../utils/progress.js'
 import type { EndpointRecord } from '../directory/endpointRecord.js'
 import type { Decision } from './decisionLog.js'
 
-/** One piece of work that wants an endpoint. */
+/** One unit of work to run on an endpoint. */
 export interface WorkItem {
-  /** Under which `explain` finds the decisions made for it; unset: not kept. */
+  /** Key of its decisions for `explain`; they are not recorded if this is unset. */
   requestId?: string
   pool: string
   callerName: string
   priorityClass: string
-  /** Text whose prefix an engine may have cached. */
+  /** Text whose prefix determines the endpoint affinity; usually the prompt. */
   affinityText?: string
   bodyBytes: number
-  /** Work of one rollout group stays close together in the queue. */
+  /** Work with the same key, such as the samples of a rollout group, is queued together. */
   groupKey?: string
-  /** A forecast; 1 for plain service calls. */
+  /** Forecast of the tokens to generate; 1 for plain service calls. */
   expectedTokensCount: number
   /** Engines with older weights are not chosen. */
   minWeightVersion?: number
-  /** The version meant is that of this adapter (`versionServed`). */
+  /** If set, `minWeightVersion` applies to this adapter (see `versionServed`). */
   adapter?: string
-  /** Endpoints that this work was tried on already. */
+  /** Endpoints on which this work was already attempted. */
   excludedEndpointIds: string[]
-  /** Only on an endpoint that would otherwise stand idle. */
+  /** The work runs only on an endpoint with little load, when nothing else is queued. */
   onlyWhenIdle?: boolean
 }
 
-/** How a try at an endpoint ended, for load accounting and ejection. */
+/** How an attempt at an endpoint ended, for load accounting and ejection. */
 export type AttemptResult =
-  /** With the time to the first token, waiting at the engine isn't taken for slowness. */
+  /** `firstTokenMs` is excluded from the time per token, so that queueing at the engine doesn't count as slowness. */
   | { kind: 'succeeded', tokensCount: number, durationMs: number, firstTokenMs?: number }
   | { kind: 'refused' }
   | { kind: 'failed' }
   | { kind: 'cancelled' }
 
 /**
- * The right to use one endpoint for one try; finish must be called once. When
- * the scope of the request has closed and finish doesn't follow, the try
- * counts as cancelled after a grace time.
+ * The right to use one endpoint for one attempt; `finish` must be called once.
+ * If the request's scope has closed and `finish` isn't called within a grace
+ * period, the attempt counts as cancelled.
  */
 export interface Assignment {
   readonly endpoint: EndpointRecord
@@ -55,14 +55,17 @@
 
 export interface Scheduler {
   /**
-   * Waits in the queue for an endpoint; a refusal comes as soon as it is
-   * certain. Do not race the promise: it settles by itself at the deadline and
-   * when the scope closes, and an assignment that nobody reads is leaked.
+   * Queues the work for an endpoint; it is refused as soon as it can't be
+   * served. Do not race the promise: it settles by itself at the deadline and
+   * when the scope closes, and an assignment that is not awaited is leaked.
    * @throws ScopeClosedError when the scope closes first.
    */
   assign (item: WorkItem, progress: Progress): Promise<AssignOutcome>
-  /** Takes one retry from the budget of the pool, counted by reason; false when it is spent. */
+  /**
+   * Takes one retry from the budget of the pool and counts it by reason.
+   * @returns false if the budget is exhausted or the pool is unknown
+   */
   takeRetry (pool: string, reason: RetryReason): boolean
-  /** What was decided for a request, oldest first; empty when it is not known any more. */
+  /** The decisions made for a request, oldest first; empty if none are retained. */
   explain? (requestId: string): Decision[]
 }
--- a/src/entry/scheduling/schedulerParts.ts
+++ b/src/entry/scheduling/schedulerParts.ts
@@ -1,5 +1,5 @@
 /**
- * What the scheduler is built from.
+ * Options of the scheduler.
  */
 import type { ConfigurationView } from '../../controlClient/controlClient.js'
 import type { Clock } from '../../utils/clock.js'
@@ -8,12 +8,12 @@
 import type { Scope } from '../../utils/scope.js'
 import type { EndpointDirectory } from '../directory/endpointRecord.js'
 
-export interface SchedulerParts {
+export interface SchedulerOptions {
   clock: Clock
   random: RandomSource
   directory: EndpointDirectory
   configuration: ConfigurationView
   metrics: Metrics
-  /** The scheduler follows changes of directory and configuration until it closes. */
+  /** The scheduler observes the directory and the configuration until this scope closes. */
   scope: Scope
 }
--- a/src/entry/scheduling/waitForecast.ts
+++ b/src/entry/scheduling/waitForecast.ts
@@ -1,61 +1,60 @@
 /**
- * How long work would wait and run at a pool, from what this host saw: the
- * tokens a second that leave its queue while something waits, and the time a
- * token takes.
+ * Forecasts the queueing and run time of requests at a pool from this host's
+ * observations: the rate at which tokens leave its queue while there is a
+ * backlog, and the time per token.
  */
 import type { RandomSource } from '../../utils/randomSource.js'
 import type { WorkItem } from './scheduler.js'
 
-/** Time over which the rate is averaged. */
+/** Time constant of the moving average of the rate. */
 const RATE_WINDOW_MS = 3_000
-/** No rate is told before something waited for so long. */
-const MIN_BUSY_MS = 250
+/** The rate is undefined until there was a backlog for this long in total. */
+const MIN_BACKLOG_MS = 250
 const MIN_RETRY_MS = 200
 const MAX_RETRY_MS = 30_000
 
-/** An exponentially weighted rate over the time in which there was a backlog. */
+/** Exponentially weighted rate of dispatched tokens over the time with a backlog. */
 export class DrainRate {
-  private _weighted = 0
-  private _busyMs = 0
+  private _weightedTokens = 0
+  private _backlogMs = 0
   private _updatedAtMs: number
-  private _backlogged = false
+  private _isBacklogged = false
 
   constructor (nowMs: number) {
     this._updatedAtMs = nowMs
   }
 
-  /** Says whether work waits from now on. */
-  setBacklogged (nowMs: number, backlogged: boolean): void {
+  setBacklogged (nowMs: number, isBacklogged: boolean): void {
     this._advance(nowMs)
-    this._backlogged = backlogged
+    this._isBacklogged = isBacklogged
   }
 
-  left (nowMs: number, tokensCount: number): void {
+  dequeued (nowMs: number, tokensCount: number): void {
     this._advance(nowMs)
-    if (this._backlogged) this._weighted += tokensCount / RATE_WINDOW_MS
+    if (this._isBacklogged) this._weightedTokens += tokensCount / RATE_WINDOW_MS
   }
 
-  /** Tokens a millisecond; undefined before there was a backlog for long enough. */
-  perMs (nowMs: number): number | undefined {
+  /** Undefined before there was a backlog for `MIN_BACKLOG_MS`. */
+  tokensPerMs (nowMs: number): number | undefined {
     this._advance(nowMs)
-    if (this._busyMs < MIN_BUSY_MS) return undefined
-    return this._weighted / (1 - Math.exp(-this._busyMs / RATE_WINDOW_MS))
+    if (this._backlogMs < MIN_BACKLOG_MS) return undefined
+    return this._weightedTokens / (1 - Math.exp(-this._backlogMs / RATE_WINDOW_MS))
   }
 
   private _advance (nowMs: number): void {
     const elapsedMs = nowMs - this._updatedAtMs
     this._updatedAtMs = nowMs
-    if (!this._backlogged) return
-    this._weighted *= Math.exp(-elapsedMs / RATE_WINDOW_MS)
-    this._busyMs += elapsedMs
+    if (!this._isBacklogged) return
+    this._weightedTokens *= Math.exp(-elapsedMs / RATE_WINDOW_MS)
+    this._backlogMs += elapsedMs
   }
 }
 
 /**
- * Time a token takes, smoothed: over all tokens, because short answers spend
- * most of their time on the prompt.
+ * Smoothed time per token. Durations and tokens are averaged separately, because
+ * short answers spend most of their time on the prompt.
  */
-export class TokenTime {
+export class TokenTimeAverage {
   private readonly _smoothing: number
   private _durationMs = 0
   private _tokensCount = 0
@@ -64,7 +63,7 @@
     this._smoothing = smoothing
   }
 
-  /** Undefined before anything was observed. */
+  /** Undefined before the first observation. */
   get msPerToken (): number | undefined {
     return this._tokensCount > 0 ? this._durationMs / this._tokensCount : undefined
   }
@@ -76,7 +75,7 @@
     this._durationMs = isFirst ? durationMs : this._durationMs + this._smoothing * (durationMs - this._durationMs)
   }
 
-  forget (): void {
+  reset (): void {
     this._tokensCount = 0
     this._durationMs = 0
   }
@@ -84,9 +83,9 @@
 
 const RUN_SMOOTHING = 0.05
 
-/** How long tries take at a pool: to their first token by priority class, and for each token after it. */
-export class RunTime {
-  private readonly _tokenTime = new TokenTime(RUN_SMOOTHING)
+/** Run time of attempts at a pool: the time to the first token by priority class, and the time per further token. */
+export class RunTimeEstimate {
+  private readonly _tokenTime = new TokenTimeAverage(RUN_SMOOTHING)
   private readonly _firstTokenMs = new Map<string, number>()
 
   get msPerToken (): number | undefined {
@@ -95,19 +94,19 @@
 
   observe (className: string, { tokensCount, durationMs, firstTokenMs = 0 }: { tokensCount: number, durationMs: number, firstTokenMs?: number }): void {
     this._tokenTime.observe(tokensCount, durationMs - firstTokenMs)
-    const old = this._firstTokenMs.get(className) ?? firstTokenMs
-    this._firstTokenMs.set(className, old + RUN_SMOOTHING * (firstTokenMs - old))
+    const previousMs = this._firstTokenMs.get(className) ?? firstTokenMs
+    this._firstTokenMs.set(className, previousMs + RUN_SMOOTHING * (firstTokenMs - previousMs))
   }
 
-  /** From dispatch to the end; at the pool's usual speed unless another is given. */
+  /** Expected time from dispatch to the last token. */
   expectedMs ({ priorityClass, expectedTokensCount }: WorkItem, msPerToken = this.msPerToken ?? 0): number {
     return (this._firstTokenMs.get(priorityClass) ?? 0) + msPerToken * expectedTokensCount
   }
 }
 
 /**
- * When a refused caller should come back: not before the backlog has drained,
- * and spread over as long again, so that they don't return at one moment.
+ * When a refused caller should retry: not before the backlog has drained, with
+ * jitter of up to the same duration, so that callers don't retry simultaneously.
  */
 export function retryAfterMs (expectedWaitMs: number, random: RandomSource): number {
   const baseMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, expectedWaitMs))
--- a/src/entry/scheduling/waiting.ts
+++ b/src/entry/scheduling/waiting.ts
@@ -1,28 +1,28 @@
 /**
- * One request in the queue, and the promise its caller waits on. It is settled
- * exactly once: with an outcome, or by the closing of its scope.
+ * One request in the queue, with the promise that its caller awaits. The promise
+ * settles exactly once: with an outcome, or when the request's scope closes.
  */
 import { ScopeClosedError, invariant } from '../../utils/errors.js'
 import type { QueuedWork } from './classQueue.js'
 import type { AssignOutcome } from './scheduler.js'
 
-export interface Waiting extends QueuedWork {
+export interface WaitingRequest extends QueuedWork {
   readonly outcome: Promise<AssignOutcome>
-  /** Calls back once when it no longer waits. */
+  /** Calls back once when the request leaves the queue. */
   onSettled (callback: () => void): void
 }
 
-export interface WaitingParts extends Omit<QueuedWork, 'settle' | 'passedCount'> {
-  /** When its deadline can't be met any more. */
-  hopelessAtMs: number
-  onHopeless: () => void
+export interface WaitingRequestOptions extends Omit<QueuedWork, 'settle' | 'skippedCount'> {
+  /** From this instant on, the request can't meet its deadline. */
+  deadlineUnreachableAtMs: number
+  onDeadlineUnreachable: () => void
   onScopeClosed: () => void
 }
 
-export function waitFor (parts: WaitingParts): Waiting {
-  const { item, progress, enqueuedAtMs, order, sequence, patienceEndsAtMs, homes } = parts
+export function createWaitingRequest (options: WaitingRequestOptions): WaitingRequest {
+  const { item, progress, enqueuedAtMs, order, sequence, affinityWaitEndsAtMs, homes } = options
   const callbacks: Array<() => void> = []
-  let settled = false
+  let isSettled = false
   let resolve: (outcome: AssignOutcome) => void = () => {}
   let reject: (error: unknown) => void = () => {}
   const outcome = new Promise<AssignOutcome>((_resolve, _reject) => {
@@ -30,16 +30,16 @@
     reject = _reject
   })
   function end (): void {
-    invariant(!settled, 'a waiting request was settled twice')
-    settled = true
+    invariant(!isSettled, 'a queued request was settled twice')
+    isSettled = true
     for (const callback of callbacks) callback()
   }
-  callbacks.push(progress.clock.callAt(parts.hopelessAtMs, parts.onHopeless))
+  callbacks.push(progress.clock.callAt(options.deadlineUnreachableAtMs, options.onDeadlineUnreachable))
   callbacks.push(progress.scope.onClose(() => {
-    if (settled) return
+    if (isSettled) return
     end()
-    parts.onScopeClosed()
-    parts.left()
+    options.onScopeClosed()
+    options.release()
     reject(new ScopeClosedError('the request was withdrawn', { props: { reason: progress.scope.closeReason ?? '' } }))
   }))
   return {
@@ -48,15 +48,15 @@
     enqueuedAtMs,
     order,
     sequence,
-    patienceEndsAtMs,
+    affinityWaitEndsAtMs,
     homes,
-    passedCount: 0,
+    skippedCount: 0,
     outcome,
-    left: parts.left,
+    release: options.release,
     onSettled: callback => callbacks.push(callback),
     settle (result) {
       end()
-      if (result.kind === 'refused') parts.left()
+      if (result.kind === 'refused') options.release()
       resolve(result)
     }
   }
--- a/tests/scheduling/dispatchOrder.test.ts
+++ b/tests/scheduling/dispatchOrder.test.ts
@@ -1,16 +1,16 @@
 import test from 'ava'
 import type { QueuedWork } from '../../src/entry/scheduling/classQueue.js'
-import { nextToDispatch, type Order } from '../../src/entry/scheduling/dispatchOrder.js'
+import { nextToDispatch, type DispatchCandidates } from '../../src/entry/scheduling/dispatchOrder.js'
 import type { EndpointState } from '../../src/entry/scheduling/endpointState.js'
 import { PrefixPopularity, homesFor, prefixKeys } from '../../src/entry/scheduling/prefixHomes.js'
 
 const open = [{ endpointId: 'a' } as EndpointState]
 
-function workWith (patienceEndsAtMs: number): QueuedWork {
-  return { patienceEndsAtMs, passedCount: 0 } as QueuedWork
+function workWith (affinityWaitEndsAtMs: number): QueuedWork {
+  return { affinityWaitEndsAtMs, skippedCount: 0 } as QueuedWork
 }
 
-function orderOf (waiting: QueuedWork[], homeOf: (work: QueuedWork) => string, nowMs = 0): Order {
+function orderOf (waiting: QueuedWork[], homeOf: (work: QueuedWork) => string, nowMs = 0): DispatchCandidates {
   return nextToDispatch({ waiting, endpointsCount: 2, nowMs, openFor: () => open, homesOf: work => new Set([homeOf(work)]) })
 }
 
@@ -24,15 +24,15 @@
 
 test('should offer work elsewhere only when its patience is over', t => {
   const work = workWith(1000)
-  t.deepEqual(orderOf([work], () => 'b', 999), { patient: undefined })
-  t.is(orderOf([work], () => 'b', 1000).patient?.work, work)
+  t.deepEqual(orderOf([work], () => 'b', 999), { fallback: undefined })
+  t.is(orderOf([work], () => 'b', 1000).fallback?.work, work)
 })
 
 test('should give a prefix more homes the more of the traffic shares it, and the same ones on every host', t => {
   const endpointIds = Array.from({ length: 10 }, (_, index) => `e${index}`)
   const homesAt = (shareOfTen: number): Set<string> => {
     const popularity = new PrefixPopularity()
-    for (let index = 0; index < 1000; index++) popularity.note(prefixKeys(index % 10 < shareOfTen ? 'shared' : `other ${index}`), 0)
+    for (let index = 0; index < 1000; index++) popularity.record(prefixKeys(index % 10 < shareOfTen ? 'shared' : `other ${index}`), 0)
     return homesFor('shared', popularity, 0)!.among(endpointIds)
   }
   t.is(homesAt(0).size, 1)
@@ -44,7 +44,7 @@
 test('should look at a longer prefix when nearly all of the traffic shares a short one', t => {
   const popularity = new PrefixPopularity()
   const system = 'The system prompt that every request begins with. '.repeat(6).slice(0, 256)
-  for (let index = 0; index < 200; index++) popularity.note(prefixKeys(`${system}${index % 20} is what differs`), 0)
+  for (let index = 0; index < 200; index++) popularity.record(prefixKeys(`${system}${index % 20} is what differs`), 0)
   const endpointIds = Array.from({ length: 10 }, (_, index) => `e${index}`)
   const homes = [...Array(20).keys()].map(index => [...homesFor(`${system}${index} is what differs`, popularity, 0)!.among(endpointIds)].join())
   t.true(new Set(homes).size > 3)
@@ -53,8 +53,8 @@
 test('should fade what is no longer asked for', t => {
   const popularity = new PrefixPopularity()
   const [old, recent] = ['old', 'recent'].map(text => prefixKeys(text)[0]!)
-  for (let index = 0; index < 50; index++) popularity.note([old!], 0)
-  for (let index = 0; index < 50; index++) popularity.note([recent!], 300_000)
+  for (let index = 0; index < 50; index++) popularity.record([old!], 0)
+  for (let index = 0; index < 50; index++) popularity.record([recent!], 300_000)
   t.true(popularity.shareOf(old!, 300_000) < 0.01)
   t.true(popularity.shareOf(recent!, 300_000) > 0.95)
 })
--- a/tests/scheduling/fairness.test.ts
+++ b/tests/scheduling/fairness.test.ts
@@ -42,7 +42,7 @@
     for (const { goldTokens, bronzeTokens, goldWaits } of steps) {
       if (goldWaits && !goldWaited) fairShare.activate('gold', ['bronze'])
       goldWaited = goldWaits
-      const [next] = fairShare.inTurn(goldWaits ? ['gold', 'bronze'] : ['bronze'])
+      const [next] = fairShare.inServiceOrder(goldWaits ? ['gold', 'bronze'] : ['bronze'])
       const tokensCount = next === 'gold' ? goldTokens : bronzeTokens
       fairShare.charge(next ?? '', tokensCount)
       if (next === 'gold') goldServed += tokensCount
@@ -61,7 +61,7 @@
   fairShare.activate('bronze', ['gold'])
   const turns: string[] = []
   for (let index = 0; index < 400; index++) {
-    const [next] = fairShare.inTurn(['gold', 'bronze'])
+    const [next] = fairShare.inServiceOrder(['gold', 'bronze'])
     fairShare.charge(next ?? '', 10)
     turns.push(next ?? '')
   }
@@ -76,7 +76,7 @@
   for (let index = 0; index < 10; index++) fairShare.charge('silver', 100)
   for (let index = 0; index < 5; index++) {
     fairShare.activate('gold', ['silver'])
-    t.is(fairShare.inTurn(['silver', 'gold'])[0], 'gold')
+    t.is(fairShare.inServiceOrder(['silver', 'gold'])[0], 'gold')
     fairShare.charge('gold', 100)
   }
 })
@@ -88,7 +88,7 @@
   fairShare.activate('bronze', ['silver'])
   for (let index = 0; index < 20; index++) fairShare.charge('bronze', 100)
   fairShare.activate('gold', ['silver', 'bronze'])
-  t.deepEqual(fairShare.inTurn(['bronze', 'silver', 'gold']), ['gold', 'silver', 'bronze'])
+  t.deepEqual(fairShare.inServiceOrder(['bronze', 'silver', 'gold']), ['gold', 'silver', 'bronze'])
 })
 
 /** Names of the classes in the order in which one endpoint of one place runs them. */
