--- a/src/entry/rollouts/enginePaces.ts
+++ b/src/entry/rollouts/enginePaces.ts
@@ -1,88 +1,88 @@
 /**
- * How fast engines make the tokens of one sample, and when a running sample
- * should go on with another engine: when its own is much slower than the rest
- * of the pool and another has room. The tokens go along, so moving costs a
- * prefill and throws nothing away, where a second attempt would throw away
- * the slower one's work.
+ * Measures the token throughput of single samples and decides when a running
+ * sample is moved to another engine: when it is much slower than the average of
+ * the pool and another engine has spare capacity. The generated tokens move with
+ * the sample, so a move costs one prefill and discards nothing, whereas a second
+ * parallel attempt would discard the work of the slower one.
  */
 import type { Clock } from '../../utils/clock.js'
-import type { RolloutParts } from './rolloutParts.js'
+import type { RolloutContext } from './rolloutParts.js'
 
-/** A pace is judged over this time. */
+/** Throughput is measured over windows of this length. */
 const WINDOW_MS = 4_000
-/** A sample moves when it gets less than this part of the usual pace. */
+/** A sample is moved when its throughput is below this fraction of the pool's average. */
 const SLOW_FRACTION = 0.4
-/** A sample that has moved stays for so long. */
-const REST_MS = 10_000
+/** Minimum time between two moves of a sample. */
+const MIN_STAY_MS = 10_000
 const SMOOTHING = 0.05
-/** An engine has room when less than this part of it runs. */
-const ROOM_FRACTION = 0.75
+/** An engine has spare capacity when its load is below this fraction of its capacity. */
+const SPARE_LOAD_FRACTION = 0.75
 
-export class EnginePaces {
-  private readonly _parts: RolloutParts
-  /** Moving mean of tokens per second of a sample, by pool. */
-  private readonly _usual = new Map<string, number>()
+export class ThroughputMonitor {
+  private readonly _context: RolloutContext
+  /** Moving average of the tokens per second of one sample, by pool. */
+  private readonly _meanTokensPerSecond = new Map<string, number>()
 
-  constructor (parts: RolloutParts) {
-    this._parts = parts
+  constructor (context: RolloutContext) {
+    this._context = context
   }
 
-  sample (pool: string): SamplePace {
-    return new SamplePace(this._parts.clock, (tokensPerSecond, engineId) => this._judge(pool, tokensPerSecond, engineId))
+  trackSample (pool: string): SampleThroughput {
+    return new SampleThroughput(this._context.clock, (tokensPerSecond, engineId) => this._shouldMove(pool, tokensPerSecond, engineId))
   }
 
-  /** @returns whether the sample should move */
-  private _judge (pool: string, tokensPerSecond: number, engineId: string): boolean {
-    const usual = this._usual.get(pool) ?? tokensPerSecond
-    this._usual.set(pool, usual + SMOOTHING * (tokensPerSecond - usual))
-    return tokensPerSecond < SLOW_FRACTION * usual && this._hasRoomElsewhere(pool, engineId)
+  /** Adds a measurement to the pool's average. @returns whether the sample should be moved */
+  private _shouldMove (pool: string, tokensPerSecond: number, engineId: string): boolean {
+    const meanTokensPerSecond = this._meanTokensPerSecond.get(pool) ?? tokensPerSecond
+    this._meanTokensPerSecond.set(pool, meanTokensPerSecond + SMOOTHING * (tokensPerSecond - meanTokensPerSecond))
+    return tokensPerSecond < SLOW_FRACTION * meanTokensPerSecond && this._hasSpareEngine(pool, engineId)
   }
 
-  private _hasRoomElsewhere (pool: string, engineId: string): boolean {
-    return this._parts.directory.available(pool).some(({ announcement: { endpointId, load, maxConcurrentCount } }) => {
-      return endpointId !== engineId && load.runningCount + load.waitingCount < ROOM_FRACTION * maxConcurrentCount
+  private _hasSpareEngine (pool: string, engineId: string): boolean {
+    return this._context.directory.available(pool).some(({ announcement: { endpointId, load, maxConcurrentCount } }) => {
+      return endpointId !== engineId && load.runningCount + load.waitingCount < SPARE_LOAD_FRACTION * maxConcurrentCount
     })
   }
 }
 
-type Judge = (tokensPerSecond: number, engineId: string) => boolean
+type MoveCheck = (tokensPerSecond: number, engineId: string) => boolean
 
-export class SamplePace {
+export class SampleThroughput {
   private readonly _clock: Clock
-  private readonly _judge: Judge
+  private readonly _shouldMove: MoveCheck
   private _move = (): void => {}
   private _engineId: string | undefined
   private _windowStartMs = 0
-  private _windowCount = 0
-  private _restsUntilMs = 0
+  private _windowTokensCount = 0
+  private _staysUntilMs = 0
 
-  constructor (clock: Clock, judge: Judge) {
+  constructor (clock: Clock, shouldMove: MoveCheck) {
     this._clock = clock
-    this._judge = judge
+    this._shouldMove = shouldMove
   }
 
-  /** @param move breaks the run off, to go on elsewhere */
+  /** @param move called to abort the current run, so that the sample continues on another engine */
   start (move: () => void): void {
     this._move = move
     this._engineId = undefined
   }
 
-  note (tokensCount: number, engineId: string | undefined): void {
+  record (tokensCount: number, engineId: string | undefined): void {
     const nowMs = this._clock.nowMs()
     if (engineId === undefined || engineId !== this._engineId) {
       this._engineId = engineId
       this._windowStartMs = nowMs
-      this._windowCount = 0
+      this._windowTokensCount = 0
       return
     }
-    this._windowCount += tokensCount
+    this._windowTokensCount += tokensCount
     const elapsedMs = nowMs - this._windowStartMs
     if (elapsedMs < WINDOW_MS) return
-    const shouldMove = this._judge(1000 * this._windowCount / elapsedMs, engineId)
+    const shouldMove = this._shouldMove(1000 * this._windowTokensCount / elapsedMs, engineId)
     this._windowStartMs = nowMs
-    this._windowCount = 0
-    if (!shouldMove || nowMs < this._restsUntilMs) return
-    this._restsUntilMs = nowMs + REST_MS
+    this._windowTokensCount = 0
+    if (!shouldMove || nowMs < this._staysUntilMs) return
+    this._staysUntilMs = nowMs + MIN_STAY_MS
     this._move()
   }
 }
--- a/src/entry/rollouts/ledgerClient.ts
+++ b/src/entry/rollouts/ledgerClient.ts
@@ -1,6 +1,6 @@
 /**
- * Submits commands to the ledger until their fate is known. Commands of the
- * ledger are idempotent, so one whose fate is unknown is sent again.
+ * Submits commands to the ledger until their outcome is known. The commands are
+ * idempotent, so a command with an unknown outcome is sent again.
  */
 import type { ControlClient } from '../../controlClient/controlClient.js'
 import type { RolloutCommand, RolloutResult } from '../../protocol/rolloutCommands.js'
@@ -8,8 +8,8 @@
 import type { Progress } from '../../utils/progress.js'
 import type { RandomSource } from '../../utils/randomSource.js'
 
-const FIRST_PAUSE_MS = 50
-const MAX_PAUSE_MS = 2_000
+const INITIAL_BACKOFF_MS = 50
+const MAX_BACKOFF_MS = 2_000
 
 export class LedgerClient {
   private readonly _control: ControlClient
@@ -25,12 +25,12 @@
    * @throws ScopeClosedError when the scope of the progress closes first
    */
   async submit (command: RolloutCommand, progress: Progress): Promise<RolloutResult | undefined> {
-    for (let pauseMs = FIRST_PAUSE_MS; ; pauseMs = Math.min(2 * pauseMs, MAX_PAUSE_MS)) {
+    for (let backoffMs = INITIAL_BACKOFF_MS; ; backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS)) {
       const outcome = await progress.scope.race(this._control.submit(command, progress))
       if (outcome.kind === 'committed') return outcome.result
       progress.log(`${command.kind}: ${outcome.kind}: ${outcome.reason}`)
-      if (progress.remainingMs() <= pauseMs) return undefined
-      const jitteredMs = pauseMs * (0.5 + this._random.real())
+      if (progress.remainingMs() <= backoffMs) return undefined
+      const jitteredMs = backoffMs * (0.5 + this._random.real())
       await sleepUntil(progress.clock, progress.scope, progress.clock.nowMs() + jitteredMs)
     }
   }
--- a/src/entry/rollouts/rolloutMethods.ts
+++ b/src/entry/rollouts/rolloutMethods.ts
@@ -1,6 +1,6 @@
 /**
- * Calls between entry hosts about samples: contents, checkpoints, and hints
- * that spare waiting for the next look at the ledger.
+ * RPC methods between entry hosts for samples: contents, checkpoints, and
+ * notifications that avoid the wait for the next poll of the ledger.
  */
 import { z } from 'zod'
 import { slotSchema } from '../../protocol/rolloutCommands.js'
@@ -14,14 +14,14 @@
   versions: z.array(versionSpanSchema),
   score: z.number().nullable()
 })
-/** What a host keeps of a finished sample. */
+/** The stored content of a finished sample. */
 export type SampleContent = z.infer<typeof sampleContentSchema>
 
 export const checkpointSchema = slotSchema.extend({
   tokens: z.array(z.string()),
   versions: z.array(versionSpanSchema)
 })
-/** The beginning of a sample, kept so that another host can go on behind it. */
+/** The first tokens of a running sample, stored so that another host can resume after them. */
 export type Checkpoint = z.infer<typeof checkpointSchema>
 
 const acknowledgementSchema = z.object({ ok: z.boolean() })
@@ -34,8 +34,8 @@
 
 export const fetchCheckpoint = rpcMethod('rollouts.fetchCheckpoint', slotSchema, z.object({ checkpoint: checkpointSchema.nullable() }))
 
-/** A group of the job is whole; the host's trainer may be waiting for it. */
-export const groupIsWhole = rpcMethod('rollouts.groupIsWhole', z.object({ job: z.string() }), acknowledgementSchema)
+/** Notifies a host that a group of the job is complete, because a pull there may be waiting for it. */
+export const notifyGroupComplete = rpcMethod('rollouts.groupIsWhole', z.object({ job: z.string() }), acknowledgementSchema)
 
-/** Slots may be waiting for a host. */
-export const slotsAreWaiting = rpcMethod('rollouts.slotsAreWaiting', z.object({ job: z.string() }), acknowledgementSchema)
+/** Notifies a host that slots of the job may be waiting to be leased. */
+export const notifySlotsWaiting = rpcMethod('rollouts.slotsAreWaiting', z.object({ job: z.string() }), acknowledgementSchema)
--- a/src/entry/rollouts/rolloutParts.ts
+++ b/src/entry/rollouts/rolloutParts.ts
@@ -1,5 +1,5 @@
 /**
- * What the rollout side of an entry host is built from.
+ * The dependencies that the rollout components of an entry host share.
  */
 import type { ControlClient } from '../../controlClient/controlClient.js'
 import type { Clock } from '../../utils/clock.js'
@@ -13,9 +13,9 @@
 import type { ScoreCall } from './sampleScorer.js'
 import type { EngineOrders } from './weights/engineOrders.js'
 
-export interface RolloutParts {
+export interface RolloutContext {
   hostId: string
-  /** Grows with every start of the process. */
+  /** Increases with every start of the process. */
   hostIncarnation: number
   clock: Clock
   random: RandomSource
@@ -26,7 +26,7 @@
   peers: PeerNetwork
   metrics: Metrics
   logger: Logger
-  /** Undici towards the engines and services unless a test brings its own. */
+  /** Tests replace the HTTP clients of engines and scoring services. */
   engineOrders?: EngineOrders
   scoreCall?: ScoreCall
 }
--- a/src/entry/rollouts/rolloutProgram.ts
+++ b/src/entry/rollouts/rolloutProgram.ts
@@ -1,16 +1,16 @@
 /**
- * The rollout side of an entry host: wires the parts and starts their tasks.
+ * Creates the rollout components of an entry host and starts their tasks.
  */
 import type { Scope } from '../../utils/scope.js'
 import type { Supervisor } from '../../utils/supervisor.js'
 import { Progress } from '../../utils/progress.js'
 import type { Route } from '../http/route.js'
-import { EnginePaces } from './enginePaces.js'
+import { ThroughputMonitor } from './enginePaces.js'
 import { JobOutlooks } from './jobOutlooks.js'
 import { LedgerClient } from './ledgerClient.js'
 import { PullServer } from './pullServer.js'
-import { groupIsWhole, slotsAreWaiting } from './rolloutMethods.js'
-import type { RolloutParts } from './rolloutParts.js'
+import { notifyGroupComplete, notifySlotsWaiting } from './rolloutMethods.js'
+import type { RolloutContext } from './rolloutParts.js'
 import { SampleReplication } from './sampleReplication.js'
 import { SampleScorer } from './sampleScorer.js'
 import { SampleStore } from './sampleStore.js'
@@ -18,54 +18,54 @@
 import { TrainerRoutes } from './trainerRoutes.js'
 import { WeightDistribution } from './weights/weightDistribution.js'
 
-const HINT_TIMEOUT_MS = 2_000
+const NOTIFY_TIMEOUT_MS = 2_000
 
-export type { RolloutParts }
+export type { RolloutContext as RolloutParts }
 
 export interface Rollouts {
-  /** What trainers call. */
+  /** HTTP routes for trainers. */
   readonly routes: Route[]
   /** Starts leasing slots, running samples and distributing weights. */
   start (supervisor: Supervisor): void
 }
 
-export function createRollouts (parts: RolloutParts): Rollouts {
-  const ledger = new LedgerClient(parts.control, parts.random)
-  const store = new SampleStore(parts.clock)
-  const replication = new SampleReplication(parts, ledger, store)
+export function createRollouts (context: RolloutContext): Rollouts {
+  const ledger = new LedgerClient(context.control, context.random)
+  const store = new SampleStore(context.clock)
+  const replication = new SampleReplication(context, ledger, store)
   const outlooks = new JobOutlooks()
-  const hints = new HintSender(parts)
-  const pulls = new PullServer({ parts, ledger, replication, onSlotsWaiting: job => wakeAll(job) })
-  const scorer = new SampleScorer(parts)
+  const notifier = new SlotsNotifier(context)
+  const pulls = new PullServer({ context, ledger, replication, onSlotsWaiting: job => wakeAll(job) })
+  const scorer = new SampleScorer(context)
   let tasks: Supervisor | undefined
   const leaser = new SlotLeaser({
-    parts,
+    context,
     ledger,
     store,
     replication,
     scorer,
     outlooks,
-    paces: new EnginePaces(parts),
+    throughputMonitor: new ThroughputMonitor(context),
     spawn: (name, task) => tasks?.spawn(name, task),
-    onGroupWhole: job => pulls.wake(job)
+    onGroupComplete: job => pulls.wake(job)
   })
-  const weights = new WeightDistribution(parts, outlooks)
-  const routes = new TrainerRoutes({ parts, ledger, pulls, onWeightsPublished: job => wakeAll(job) })
+  const weights = new WeightDistribution(context, outlooks)
+  const routes = new TrainerRoutes({ context, ledger, pulls, onWeightsPublished: job => wakeAll(job) })
   const wakeAll = (job: string): void => {
     leaser.wake()
-    hints.send(job)
+    notifier.notify(job)
   }
   outlooks.onChange(() => weights.wake())
-  serveHints(parts, leaser, pulls)
+  serveNotifications(context, leaser, pulls)
   return {
     routes: routes.routes(),
     start (supervisor) {
-      const child = supervisor.child('rollouts')
-      tasks = child
-      hints.start(child)
-      child.spawn('slots', async scope => await leaser.run(scope, child))
-      child.spawn('weights', async scope => await weights.run(scope, child))
-      child.spawn('endpoints', async scope => await watchEndpoints(parts, scope, () => {
+      const rolloutSupervisor = supervisor.child('rollouts')
+      tasks = rolloutSupervisor
+      notifier.start(rolloutSupervisor)
+      rolloutSupervisor.spawn('slots', async scope => await leaser.run(scope, rolloutSupervisor))
+      rolloutSupervisor.spawn('weights', async scope => await weights.run(scope, rolloutSupervisor))
+      rolloutSupervisor.spawn('endpoints', async scope => await watchEndpoints(context, scope, () => {
         leaser.wake()
         weights.wake()
       }))
@@ -73,51 +73,51 @@
   }
 }
 
-function serveHints ({ peers }: RolloutParts, leaser: SlotLeaser, pulls: PullServer): void {
-  peers.handlers.on(groupIsWhole, ({ job }) => {
+function serveNotifications ({ peers }: RolloutContext, leaser: SlotLeaser, pulls: PullServer): void {
+  peers.handlers.on(notifyGroupComplete, ({ job }) => {
     pulls.wake(job)
     return { ok: true }
   })
-  peers.handlers.on(slotsAreWaiting, () => {
+  peers.handlers.on(notifySlotsWaiting, () => {
     leaser.wake()
     return { ok: true }
   })
 }
 
-async function watchEndpoints ({ directory }: RolloutParts, scope: Scope, onChange: () => void): Promise<void> {
-  const known = new Map<string, string>()
+async function watchEndpoints ({ directory }: RolloutContext, scope: Scope, onChange: () => void): Promise<void> {
+  const knownIdentities = new Map<string, string>()
   await scope.race(directory.changes.forEach(change => {
     if (change.kind === 'removed') {
-      known.delete(change.endpointId)
+      knownIdentities.delete(change.endpointId)
       return onChange()
     }
-    // Load changes all the time; only what an engine is and has matters here.
+    // The load changes continuously; only changes of identity and weights are relevant here.
     const { endpointId, incarnation, weightVersion, adapters, leaving } = change.record.announcement
     const identity = JSON.stringify([incarnation, weightVersion, adapters, leaving])
-    if (known.get(endpointId) === identity) return
-    known.set(endpointId, identity)
+    if (knownIdentities.get(endpointId) === identity) return
+    knownIdentities.set(endpointId, identity)
     onChange()
   }))
 }
 
-/** Tells the other hosts that slots may be waiting; a lost hint costs one renewal interval. */
-class HintSender {
-  private readonly _parts: RolloutParts
+/** Notifies the other hosts that slots may be waiting. A lost notification delays them by one renewal interval. */
+class SlotsNotifier {
+  private readonly _context: RolloutContext
   private _supervisor: Supervisor | undefined
 
-  constructor (parts: RolloutParts) {
-    this._parts = parts
+  constructor (context: RolloutContext) {
+    this._context = context
   }
 
   start (supervisor: Supervisor): void {
     this._supervisor = supervisor
   }
 
-  send (job: string): void {
-    const { peers, clock } = this._parts
+  notify (job: string): void {
+    const { peers, clock } = this._context
     for (const hostId of peers.connectedHostIds()) {
-      this._supervisor?.spawn(`hint to ${hostId}`, async scope => {
-        await peers.call(hostId, slotsAreWaiting, { job }, new Progress(clock, scope, clock.nowMs() + HINT_TIMEOUT_MS))
+      this._supervisor?.spawn(`notification of ${hostId}`, async scope => {
+        await peers.call(hostId, notifySlotsWaiting, { job }, new Progress(clock, scope, clock.nowMs() + NOTIFY_TIMEOUT_MS))
       })
     }
   }
--- a/src/entry/rollouts/sampleReplication.ts
+++ b/src/entry/rollouts/sampleReplication.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps every finished sample on two hosts, finds contents again for delivery,
- * and copies those whose second host is gone.
+ * Stores every finished sample on two hosts, fetches contents for delivery, and
+ * copies samples again after the loss of a host.
  */
 import type { CommittedSample, HeldSample, Slot } from '../../protocol/rolloutCommands.js'
 import { RolloutCommandKind } from '../../protocol/rolloutCommands.js'
@@ -9,44 +9,44 @@
 import type { LedgerClient } from './ledgerClient.js'
 import { RolloutEvent } from './rolloutEvents.js'
 import { fetchCheckpoint, fetchSamples, keepCheckpoint, keepSample, type Checkpoint, type SampleContent } from './rolloutMethods.js'
-import type { RolloutParts } from './rolloutParts.js'
+import type { RolloutContext } from './rolloutParts.js'
 import { slotKey, type SampleStore } from './sampleStore.js'
 
 const HOLDERS_COUNT = 2
-const PEER_CALL_MS = 2_000
-/** Contents asked for in one call: bounds the size of a frame. */
+const PEER_CALL_TIMEOUT_MS = 2_000
+/** Contents per call, which bounds the size of a frame. */
 const FETCH_BATCH_COUNT = 32
-/** Hosts that may hold the checkpoint of a slot. */
+/** Number of hosts, in order of preference, on which the checkpoint of a slot is stored or looked up. */
 const CHECKPOINT_CANDIDATES_COUNT = 3
 
 export type FetchOutcome =
   | { kind: 'found', content: SampleContent }
-  /** Every holder has answered that it does not have it. */
+  /** Every holder has replied that it does not have the content. */
   | { kind: 'lost' }
-  /** Some holder could not be asked. */
+  /** At least one holder did not reply. */
   | { kind: 'unreachable' }
 
 export class SampleReplication {
-  private readonly _parts: RolloutParts
+  private readonly _context: RolloutContext
   private readonly _ledger: LedgerClient
   private readonly _store: SampleStore
 
-  constructor (parts: RolloutParts, ledger: LedgerClient, store: SampleStore) {
-    this._parts = parts
+  constructor (context: RolloutContext, ledger: LedgerClient, store: SampleStore) {
+    this._context = context
     this._ledger = ledger
     this._store = store
     this._serve()
   }
 
-  /** Keeps a content here and on a second host; returns the hosts that have it. */
-  async keep (content: SampleContent, progress: Progress): Promise<string[]> {
-    this._store.keep(content)
-    const holders = [this._parts.hostId, ...await this._copyTo(content, this._candidates(slotKey(content)), progress)]
-    if (holders.length < HOLDERS_COUNT) this._parts.logger.event(RolloutEvent.SampleOnOneHost, { job: content.job, attemptId: content.attemptId })
+  /** Stores a content on this host and on a second one. @returns the hosts that hold it */
+  async replicate (content: SampleContent, progress: Progress): Promise<string[]> {
+    this._store.put(content)
+    const holders = [this._context.hostId, ...await this._copyTo(content, this._rankedHosts(slotKey(content)), progress)]
+    if (holders.length < HOLDERS_COUNT) this._context.logger.event(RolloutEvent.SampleOnOneHost, { job: content.job, attemptId: content.attemptId })
     return holders
   }
 
-  /** Looks for contents here first, then with their other holders, one holder after the other. */
+  /** Looks up contents on this host first, then on their other holders in turn. */
   async fetch (samples: CommittedSample[], progress: Progress): Promise<Map<string, FetchOutcome>> {
     const outcomes = new Map<string, FetchOutcome>()
     for (const { attemptId } of samples) {
@@ -54,41 +54,41 @@
       outcomes.set(attemptId, content ? { kind: 'found', content } : { kind: 'lost' })
     }
     for (let rank = 0; rank < HOLDERS_COUNT; rank++) {
-      const sought = samples.filter(({ attemptId }) => outcomes.get(attemptId)?.kind !== 'found')
-      const byHolder = groupByHolder(sought, rank, this._parts.hostId)
+      const missing = samples.filter(({ attemptId }) => outcomes.get(attemptId)?.kind !== 'found')
+      const byHolder = groupByHolder(missing, rank, this._context.hostId)
       const answers = await Promise.all([...byHolder].map(async ([hostId, attemptIds]) => await this._fetchFrom(hostId, attemptIds, progress)))
-      for (const answer of answers) noteAnswer(outcomes, answer)
+      for (const answer of answers) recordAnswer(outcomes, answer)
     }
     return outcomes
   }
 
-  /** Copies samples whose second holder is gone to another host. */
+  /** Copies samples that have lost a holder to another host. */
   async repair (held: HeldSample[], progress: Progress): Promise<void> {
-    const present = new Set([this._parts.hostId, ...this._parts.peers.connectedHostIds()])
+    const connected = new Set([this._context.hostId, ...this._context.peers.connectedHostIds()])
     for (const sample of held) {
       const content = this._store.get(sample.attemptId)
-      const alive = sample.holderHostIds.filter(hostId => present.has(hostId))
-      // The first living holder repairs, so that two do not choose different hosts.
-      if (!content || alive.length >= HOLDERS_COUNT || alive[0] !== this._parts.hostId) continue
-      const copies = await this._copyTo(content, this._candidates(slotKey(content)), progress)
+      const connectedHolders = sample.holderHostIds.filter(hostId => connected.has(hostId))
+      // Only the first connected holder repairs, so that two holders don't choose different hosts.
+      if (!content || connectedHolders.length >= HOLDERS_COUNT || connectedHolders[0] !== this._context.hostId) continue
+      const copies = await this._copyTo(content, this._rankedHosts(slotKey(content)), progress)
       if (copies.length === 0) continue
-      await this._ledger.submit({ kind: RolloutCommandKind.MoveSample, ...slotOf(sample), attemptId: sample.attemptId, holderHostIds: [...alive, ...copies] }, progress)
+      await this._ledger.submit({ kind: RolloutCommandKind.MoveSample, ...slotOf(sample), attemptId: sample.attemptId, holderHostIds: [...connectedHolders, ...copies] }, progress)
     }
   }
 
-  /** Leaves the beginning of a running sample with another host. */
-  async checkpoint (checkpoint: Checkpoint, progress: Progress): Promise<void> {
-    this._store.keepCheckpoint(checkpoint)
-    for (const hostId of this._candidates(slotKey(checkpoint)).slice(0, CHECKPOINT_CANDIDATES_COUNT)) {
-      const outcome = await this._parts.peers.call(hostId, keepCheckpoint, checkpoint, this._callProgress(progress))
+  /** Stores the checkpoint of a running sample on this host and on another one. */
+  async replicateCheckpoint (checkpoint: Checkpoint, progress: Progress): Promise<void> {
+    this._store.putCheckpoint(checkpoint)
+    for (const hostId of this._rankedHosts(slotKey(checkpoint)).slice(0, CHECKPOINT_CANDIDATES_COUNT)) {
+      const outcome = await this._context.peers.call(hostId, keepCheckpoint, checkpoint, this._callProgress(progress))
       if (outcome.kind === 'replied') return
     }
   }
 
-  /** The longest beginning of a slot that any of its likely holders has. */
+  /** The longest checkpoint of a slot on this host and its preferred hosts. */
   async findCheckpoint (slot: Slot, progress: Progress): Promise<Checkpoint | undefined> {
-    const candidates = this._candidates(slotKey(slot)).slice(0, CHECKPOINT_CANDIDATES_COUNT)
-    const answers = await Promise.all(candidates.map(async hostId => await this._parts.peers.call(hostId, fetchCheckpoint, slotOf(slot), this._callProgress(progress))))
+    const candidates = this._rankedHosts(slotKey(slot)).slice(0, CHECKPOINT_CANDIDATES_COUNT)
+    const answers = await Promise.all(candidates.map(async hostId => await this._context.peers.call(hostId, fetchCheckpoint, slotOf(slot), this._callProgress(progress))))
     const found = answers.flatMap(answer => answer.kind === 'replied' && answer.body.checkpoint ? [answer.body.checkpoint] : [])
     const own = this._store.checkpoint(slot)
     if (own) found.push(own)
@@ -96,27 +96,27 @@
   }
 
   private _serve (): void {
-    const { handlers } = this._parts.peers
+    const { handlers } = this._context.peers
     handlers.on(keepSample, content => {
-      this._store.keep(content)
+      this._store.put(content)
       return { ok: true }
     })
     handlers.on(fetchSamples, ({ attemptIds }) => ({ samples: attemptIds.flatMap(attemptId => this._store.get(attemptId) ?? []) }))
     handlers.on(keepCheckpoint, checkpoint => {
-      this._store.keepCheckpoint(checkpoint)
+      this._store.putCheckpoint(checkpoint)
       return { ok: true }
     })
     handlers.on(fetchCheckpoint, slot => ({ checkpoint: this._store.checkpoint(slot) ?? null }))
   }
 
-  /** Connected hosts in order of preference for a slot. */
-  private _candidates (key: string): string[] {
-    return rankHosts(key, this._parts.peers.connectedHostIds())
+  /** Connected hosts in order of preference for a slot key. */
+  private _rankedHosts (key: string): string[] {
+    return rankHosts(key, this._context.peers.connectedHostIds())
   }
 
   private async _copyTo (content: SampleContent, candidates: string[], progress: Progress): Promise<string[]> {
     for (const hostId of candidates) {
-      const outcome = await this._parts.peers.call(hostId, keepSample, content, this._callProgress(progress))
+      const outcome = await this._context.peers.call(hostId, keepSample, content, this._callProgress(progress))
       if (outcome.kind === 'replied') return [hostId]
     }
     return []
@@ -126,7 +126,7 @@
     const samples = new Map<string, SampleContent>()
     for (let at = 0; at < attemptIds.length; at += FETCH_BATCH_COUNT) {
       const batch = attemptIds.slice(at, at + FETCH_BATCH_COUNT)
-      const outcome = await this._parts.peers.call(hostId, fetchSamples, { attemptIds: batch }, this._callProgress(progress))
+      const outcome = await this._context.peers.call(hostId, fetchSamples, { attemptIds: batch }, this._callProgress(progress))
       if (outcome.kind !== 'replied') return { attemptIds, samples, isWhole: false }
       for (const content of outcome.body.samples) samples.set(content.attemptId, content)
     }
@@ -134,14 +134,14 @@
   }
 
   private _callProgress (progress: Progress): Progress {
-    return progress.before(this._parts.clock.nowMs() + PEER_CALL_MS)
+    return progress.before(this._context.clock.nowMs() + PEER_CALL_TIMEOUT_MS)
   }
 }
 
 interface HolderAnswer {
   attemptIds: string[]
   samples: Map<string, SampleContent>
-  /** The host answered every question. */
+  /** Whether the host replied to every call. */
   isWhole: boolean
 }
 
@@ -155,7 +155,7 @@
   return byHolder
 }
 
-function noteAnswer (outcomes: Map<string, FetchOutcome>, { attemptIds, samples, isWhole }: HolderAnswer): void {
+function recordAnswer (outcomes: Map<string, FetchOutcome>, { attemptIds, samples, isWhole }: HolderAnswer): void {
   for (const attemptId of attemptIds) {
     const content = samples.get(attemptId)
     if (content) outcomes.set(attemptId, { kind: 'found', content })
--- a/src/entry/rollouts/sampleScorer.ts
+++ b/src/entry/rollouts/sampleScorer.ts
@@ -1,6 +1,6 @@
 /**
- * Scores samples by the plain services of a pool. A call may be repeated; the
- * tokens of a sample are never thrown away because its score is late.
+ * Scores samples with the services of a pool. Calls are repeated until one
+ * succeeds, so that a failed call doesn't discard the tokens of a sample.
  */
 import { request } from 'undici'
 import { SCORE_PATH, scoreReplySchema, type ScoreRequest } from '../../protocol/endpoints.js'
@@ -9,15 +9,15 @@
 import type { Progress } from '../../utils/progress.js'
 import type { Assignment, WorkItem } from '../scheduling/scheduler.js'
 import { RolloutEvent } from './rolloutEvents.js'
-import type { RolloutParts } from './rolloutParts.js'
+import type { RolloutContext } from './rolloutParts.js'
 
-const SCORE_CALL_MS = 30_000
-const FIRST_PAUSE_MS = 100
-const MAX_PAUSE_MS = 5_000
+const SCORE_CALL_TIMEOUT_MS = 30_000
+const INITIAL_BACKOFF_MS = 100
+const MAX_BACKOFF_MS = 5_000
 
 export type ScoreOutcome =
   | { kind: 'scored', score: number }
-  /** The service is there, but did not score. */
+  /** The service responded, but did not score the sample. */
   | { kind: 'refused', message: string }
   | { kind: 'failed', message: string }
 
@@ -37,7 +37,7 @@
     const text = await answer.body.text()
     if (answer.statusCode !== 200) return { kind: 'refused', message: `status ${answer.statusCode}` }
     const parsed = scoreReplySchema.safeParse(JSON.parse(text))
-    return parsed.success ? { kind: 'scored', score: parsed.data.score } : { kind: 'failed', message: 'malformed score' }
+    return parsed.success ? { kind: 'scored', score: parsed.data.score } : { kind: 'failed', message: 'malformed response of the scoring service' }
   } catch (error) {
     progress.scope.throwIfClosed()
     return { kind: 'failed', message: String(error) }
@@ -55,47 +55,47 @@
 }
 
 export class SampleScorer {
-  private readonly _parts: RolloutParts
+  private readonly _context: RolloutContext
   private readonly _call: ScoreCall
 
-  constructor (parts: RolloutParts) {
-    this._parts = parts
-    this._call = parts.scoreCall ?? scoreOverHttp
+  constructor (context: RolloutContext) {
+    this._context = context
+    this._call = context.scoreCall ?? scoreOverHttp
   }
 
   /** @returns undefined when the deadline passed first */
   async score (task: ScoreTask, progress: Progress): Promise<number | undefined> {
     const excludedEndpointIds: string[] = []
-    for (let pauseMs = FIRST_PAUSE_MS; !progress.isOver(); pauseMs = Math.min(2 * pauseMs, MAX_PAUSE_MS)) {
-      const outcome = await this._try(task, excludedEndpointIds, progress)
+    for (let backoffMs = INITIAL_BACKOFF_MS; !progress.isOver(); backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS)) {
+      const outcome = await this._attempt(task, excludedEndpointIds, progress)
       if (outcome.kind === 'scored') return outcome.score
-      this._parts.logger.event(RolloutEvent.ScoringFailed, { pool: task.pool, message: outcome.message })
-      const waitMs = outcome.kind === 'refused' ? Math.max(pauseMs, outcome.retryAfterMs ?? 0) : pauseMs
-      await sleepUntil(progress.clock, progress.scope, Math.min(progress.deadlineMs, progress.clock.nowMs() + waitMs * (0.5 + this._parts.random.real())))
+      this._context.logger.event(RolloutEvent.ScoringFailed, { pool: task.pool, message: outcome.message })
+      const waitMs = outcome.kind === 'refused' ? Math.max(backoffMs, outcome.retryAfterMs ?? 0) : backoffMs
+      await sleepUntil(progress.clock, progress.scope, Math.min(progress.deadlineMs, progress.clock.nowMs() + waitMs * (0.5 + this._context.random.real())))
     }
     return undefined
   }
 
-  private async _try (task: ScoreTask, excludedEndpointIds: string[], progress: Progress): Promise<ScoreOutcome & { retryAfterMs?: number }> {
-    const assigned = await this._parts.scheduler.assign(toItem(task, excludedEndpointIds), progress)
+  private async _attempt (task: ScoreTask, excludedEndpointIds: string[], progress: Progress): Promise<ScoreOutcome & { retryAfterMs?: number }> {
+    const assigned = await this._context.scheduler.assign(toItem(task, excludedEndpointIds), progress)
     if (assigned.kind === 'refused') {
-      // Every service of the pool has been tried: begin again with all of them.
+      // Every service of the pool has been tried, so all of them are candidates again.
       if (assigned.reason === RefusalReason.NoEndpoint) excludedEndpointIds.length = 0
       return { kind: 'refused', message: assigned.message, retryAfterMs: assigned.retryAfterMs }
     }
-    const outcome = await this._callOn(assigned.assignment, task, progress)
+    const outcome = await this._callEndpoint(assigned.assignment, task, progress)
     if (outcome.kind === 'scored') return outcome
     excludedEndpointIds.push(assigned.assignment.endpoint.announcement.endpointId)
-    this._parts.scheduler.takeRetry(task.pool, outcome.kind === 'refused' ? RetryReason.EndpointRefused : RetryReason.EndpointError)
+    this._context.scheduler.takeRetry(task.pool, outcome.kind === 'refused' ? RetryReason.EndpointRefused : RetryReason.EndpointError)
     return outcome
   }
 
-  private async _callOn (assignment: Assignment, { prompt, tokens }: ScoreTask, progress: Progress): Promise<ScoreOutcome> {
-    const { clock } = this._parts
+  private async _callEndpoint (assignment: Assignment, { prompt, tokens }: ScoreTask, progress: Progress): Promise<ScoreOutcome> {
+    const { clock } = this._context
     const startedAtMs = clock.nowMs()
     let outcome: ScoreOutcome | undefined
     try {
-      outcome = await this._call(assignment.endpoint.announcement.url, { prompt, tokens }, progress.before(startedAtMs + SCORE_CALL_MS))
+      outcome = await this._call(assignment.endpoint.announcement.url, { prompt, tokens }, progress.before(startedAtMs + SCORE_CALL_TIMEOUT_MS))
       return outcome
     } finally {
       const durationMs = clock.nowMs() - startedAtMs
--- a/src/entry/rollouts/trainerRoutes.ts
+++ b/src/entry/rollouts/trainerRoutes.ts
@@ -1,6 +1,6 @@
 /**
- * The routes of trainers: session, pull and weights. Every call may be
- * repeated, on any host.
+ * HTTP routes for trainers: session, pull and weights. Every call is idempotent
+ * and may be repeated on any host.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { z } from 'zod'
@@ -14,26 +14,26 @@
 import type { LedgerClient } from './ledgerClient.js'
 import type { PullServer } from './pullServer.js'
 import { RolloutEvent } from './rolloutEvents.js'
-import type { RolloutParts } from './rolloutParts.js'
+import type { RolloutContext } from './rolloutParts.js'
 import { decodePathSegment } from '../../utils/urlPath.js'
 
 const MAX_BODY_BYTES = 64 * 1024
 const CALL_TIMEOUT_MS = 10_000
-/** Time beyond the wait of a pull for bringing contents together. */
+/** Time for fetching contents, in addition to the wait time of a pull. */
 const PULL_GRACE_MS = 10_000
 const MAX_PULL_WAIT_MS = 60_000
 const RETRY_AFTER_MS = 1_000
 
 const openSessionRequestSchema = z.object({
-  /** Chosen by the trainer: an equal request gets the same session again. */
+  /** Chosen by the trainer; a repeated request with the same id gets the same session. */
   sessionId: z.string().min(1).max(128).optional()
 })
 
 export interface TrainerRoutesOptions {
-  parts: RolloutParts
+  context: RolloutContext
   ledger: LedgerClient
   pulls: PullServer
-  /** The job has a new weight version. */
+  /** Called after a weight version was published for the job. */
   onWeightsPublished: (job: string, weightVersion: number) => void
 }
 
@@ -57,14 +57,14 @@
       name: 'trainers',
       method: 'POST',
       pathPrefix: callerPaths.trainers,
-      // What is committed is delivered by whatever host is asked: the ledger decides.
+      // Any host can deliver committed samples, since the ledger decides on every delivery.
       servedWithoutLease: true,
       handle: async exchange => await this._handle(exchange)
     }]
   }
 
   private async _handle (exchange: Exchange): Promise<void> {
-    const { metrics } = this._options.parts
+    const { metrics } = this._options.context
     metrics.count(MetricName.RequestReceived, { route: 'trainers' })
     const answer = await this._answer(exchange)
     switch (answer.kind) {
@@ -81,8 +81,8 @@
     const [job = '', callName = ''] = exchange.path.slice(callerPaths.trainers.length).split('/')
     const call = Object.hasOwn(this._calls, callName) ? this._calls[callName] : undefined
     const jobName = decodePathSegment(job)
-    if (!call) return refuse(RefusalReason.MalformedRequest, `no call ${callName}`)
-    if (jobName === undefined) return refuse(RefusalReason.MalformedRequest, `the name of the job cannot be read: ${job}`)
+    if (!call) return refuse(RefusalReason.MalformedRequest, `unknown call ${callName}`)
+    if (jobName === undefined) return refuse(RefusalReason.MalformedRequest, `the job name in the path cannot be decoded: ${job}`)
     const body = await readJson(exchange.request)
     if (body.kind === 'malformed') return refuse(RefusalReason.MalformedRequest, body.message)
     return await call(jobName, body.value, exchange)
@@ -91,17 +91,17 @@
   private async _openSession (job: string, body: unknown, exchange: Exchange): Promise<Answer> {
     const parsed = openSessionRequestSchema.safeParse(body ?? {})
     if (!parsed.success) return refuse(RefusalReason.MalformedRequest, z.prettifyError(parsed.error))
-    const sessionId = parsed.data.sessionId ?? this._options.parts.random.id()
+    const sessionId = parsed.data.sessionId ?? this._options.context.random.id()
     const result = await this._submit({ kind: RolloutCommandKind.OpenSession, job, sessionId }, exchange)
     if (result?.kind !== 'sessionOpened') return refuseResult(result)
     const { sessionNumber, confirmedPosition } = result
-    this._options.parts.logger.event(RolloutEvent.SessionOpened, { job, sessionNumber })
+    this._options.context.logger.event(RolloutEvent.SessionOpened, { job, sessionNumber })
     const reply: OpenSessionReply = { sessionNumber, confirmedPosition }
     return { kind: 'ok', body: reply }
   }
 
   private async _pull (job: string, body: unknown, exchange: Exchange): Promise<Answer> {
-    const { clock } = this._options.parts
+    const { clock } = this._options.context
     const parsed = pullRequestSchema.safeParse(body)
     if (!parsed.success) return refuse(RefusalReason.MalformedRequest, z.prettifyError(parsed.error))
     const waitMs = Math.min(parsed.data.waitMs, MAX_PULL_WAIT_MS)
@@ -119,13 +119,13 @@
     if (!parsed.success) return refuse(RefusalReason.MalformedRequest, z.prettifyError(parsed.error))
     const result = await this._submit({ kind: RolloutCommandKind.PublishWeights, job, ...parsed.data }, exchange)
     if (result?.kind !== 'published') return refuseResult(result)
-    this._options.parts.logger.event(RolloutEvent.WeightsPublished, { job, weightVersion: result.weightVersion })
+    this._options.context.logger.event(RolloutEvent.WeightsPublished, { job, weightVersion: result.weightVersion })
     this._options.onWeightsPublished(job, result.weightVersion)
     return { kind: 'ok', body: { weightVersion: result.weightVersion } }
   }
 
   private async _submit (command: Parameters<LedgerClient['submit']>[0], exchange: Exchange): Promise<RolloutResult | undefined> {
-    const { clock } = this._options.parts
+    const { clock } = this._options.context
     return await this._options.ledger.submit(command, new Progress(clock, exchange.progress.scope, clock.nowMs() + CALL_TIMEOUT_MS))
   }
 }
@@ -137,13 +137,13 @@
 function refuseResult (result: RolloutResult | undefined): Answer {
   switch (result?.kind) {
     case 'unknownJob':
-      return refuse(RefusalReason.UnknownJob, 'no such job is declared')
+      return refuse(RefusalReason.UnknownJob, 'the job is not declared')
     case 'sessionFenced':
-      return refuse(RefusalReason.SessionFenced, `session ${result.sessionNumber} of the job has replaced this one`)
+      return refuse(RefusalReason.SessionFenced, `the session was replaced by session ${result.sessionNumber} of the job`)
     case 'pullRefused':
-      return refuse(RefusalReason.CursorMismatch, `${result.reason}: position ${result.confirmedPosition} is confirmed, the step is ${result.step}`)
+      return refuse(RefusalReason.CursorMismatch, `${result.reason}: the confirmed position is ${result.confirmedPosition} and the current step is ${result.step}`)
     default:
-      // Commands of the ledger are idempotent, so the trainer may just ask again.
+      // The commands of the ledger are idempotent, so the trainer may repeat the call.
       return { kind: 'refused', refusal: { reason: RefusalReason.ControlUnavailable, executed: Executed.Unknown, message: 'the ledger did not answer in time', retryAfterMs: RETRY_AFTER_MS } }
   }
 }
@@ -155,7 +155,7 @@
   let sizeBytes = 0
   for await (const chunk of message) {
     sizeBytes += (chunk as Buffer).length
-    if (sizeBytes > MAX_BODY_BYTES) return { kind: 'malformed', message: `a body of at most ${MAX_BODY_BYTES} bytes is expected` }
+    if (sizeBytes > MAX_BODY_BYTES) return { kind: 'malformed', message: `the body exceeds the limit of ${MAX_BODY_BYTES} bytes` }
     chunks.push(chunk as Buffer)
   }
   const text = Buffer.concat(chunks).toString('utf8')
--- a/src/entry/rollouts/wakeSignal.ts
+++ b/src/entry/rollouts/wakeSignal.ts
@@ -1,22 +1,22 @@
 /**
- * Wakes a task that waits for an event or for an instant, whichever is first.
- * An event that comes while the task is at work is not lost.
+ * Lets a task wait for an event or an instant, whichever comes first. An event
+ * that occurs while the task isn't waiting ends its next wait.
  */
 import { sleepUntil, type Clock } from '../../utils/clock.js'
 import type { Scope } from '../../utils/scope.js'
 
 export class WakeSignal {
   private _isSet = false
-  private readonly _waiting = new Set<() => void>()
+  private readonly _waiters = new Set<() => void>()
 
   wake (): void {
     this._isSet = true
-    for (const resolve of [...this._waiting]) resolve()
-    this._waiting.clear()
+    for (const resolve of [...this._waiters]) resolve()
+    this._waiters.clear()
   }
 
   /**
-   * Waits until the next event, or the instant; an event since the last wait counts.
+   * Waits for an event until `untilMs`; returns immediately if one occurred since the last wait.
    * @throws ScopeClosedError when the scope closes first.
    */
   async wait (clock: Clock, scope: Scope, untilMs: number): Promise<void> {
@@ -29,13 +29,13 @@
     const waitScope = scope.child('wait')
     let resolveEvent = (): void => {}
     const event = new Promise<void>(resolve => { resolveEvent = resolve })
-    this._waiting.add(resolveEvent)
+    this._waiters.add(resolveEvent)
     const instant = sleepUntil(clock, waitScope, untilMs)
     instant.catch(() => {})
     try {
       await scope.race(Promise.race([event, instant]))
     } finally {
-      this._waiting.delete(resolveEvent)
+      this._waiters.delete(resolveEvent)
       waitScope.close('woken')
     }
   }
--- a/src/entry/rollouts/weights/engineOrders.ts
+++ b/src/entry/rollouts/weights/engineOrders.ts
@@ -1,5 +1,5 @@
 /**
- * Orders to engines, and their own word on what they run.
+ * Client for orders to engines and for queries of their state.
  */
 import { request } from 'undici'
 import { endpointStateSchema, orderReplySchema, type EndpointState, type Order, type OrderReply } from '../../../protocol/endpoints.js'
@@ -7,7 +7,7 @@
 
 export type OrderOutcome =
   | { kind: 'replied', reply: OrderReply }
-  /** The order may still be carried out. */
+  /** The outcome is unknown; the engine may still execute the order. */
   | { kind: 'lost', message: string }
 
 export type StateOutcome = { kind: 'state', state: EndpointState } | { kind: 'unreachable', message: string }
@@ -17,7 +17,7 @@
   readState (url: string, progress: Progress): Promise<StateOutcome>
 }
 
-/** Over HTTP; an order is sent once and never repeated by the client. */
+/** The HTTP implementation. It sends an order once and doesn't retry it. */
 export const httpEngineOrders: EngineOrders = {
   async order (url, order, progress) {
     try {
--- a/src/entry/rollouts/weights/poolCoordinator.ts
+++ b/src/entry/rollouts/weights/poolCoordinator.ts
@@ -1,14 +1,15 @@
 /**
  * Brings the engines of one pool to their target weights, a few at a time.
  *
- * As many engines load at once as keep the weight store's rate filled, but
- * never so many that fewer than the pool's share go on serving: a sliding
- * window, so that the store does not wait for the slowest engine of a wave, and
- * orders that would start together are set apart, so that engines do not all
- * exchange weights, while the store stands idle, at the same moment.
- * Nothing is remembered that the engines do not say themselves, except the
- * reply to an order until the next announcement; so an engine that restarts
- * with older weights, or that a stray order has set back, is brought up again.
+ * The number of concurrent loads is bounded by `maxFetchingCount`, chosen to
+ * use the full bandwidth of the weight store, and by the part of the pool that
+ * has to keep serving. Loads form a sliding window, so that the store doesn't
+ * wait for the slowest engine of a batch. Their starts are staggered, so that
+ * engines don't all exchange weights at the same time while the store is idle.
+ *
+ * The state of an engine comes from its announcements alone, except that the
+ * reply to an order counts until the next announcement. So an engine that
+ * restarts with older weights, or that a stray order set back, is updated again.
  */
 import { OrderKind, weightsUrl, type Order } from '../../../protocol/endpoints.js'
 import type { EndpointPoolSpec } from '../../../protocol/resources.js'
@@ -17,34 +18,34 @@
 import type { Scope } from '../../../utils/scope.js'
 import type { EndpointRecord } from '../../directory/endpointRecord.js'
 import { RolloutEvent } from '../rolloutEvents.js'
-import type { RolloutParts } from '../rolloutParts.js'
+import type { RolloutContext } from '../rolloutParts.js'
 import { WakeSignal } from '../wakeSignal.js'
 import { httpEngineOrders, type EngineOrders, type OrderOutcome } from './engineOrders.js'
 import { nextTarget, type WeightTarget } from './weightTargets.js'
 
-/** The longest time an order may take; an endpoint drops it afterwards. */
+/** An endpoint drops an order that it has not executed within this time. */
 export const ORDER_LIFETIME_MS = 60_000
 const STATE_TIMEOUT_MS = 5_000
 const RECONCILE_INTERVAL_MS = 1_000
-const FIRST_BACKOFF_MS = 1_000
+const INITIAL_BACKOFF_MS = 1_000
 const MAX_BACKOFF_MS = 30_000
-/** Part of an even spacing that orders keep from each other. */
-const START_GAP = 0.5
+/** Minimum time between two orders, as a fraction of an even spacing over the duration of a swap. */
+const START_SPACING_FACTOR = 0.5
 const SMOOTHING = 0.3
 
 export interface CoordinatorOptions {
-  parts: RolloutParts
+  context: RolloutContext
   pool: string
   fencingNumber: number
   spec: () => EndpointPoolSpec | undefined
   targets: () => WeightTarget[]
-  /** False as soon as this host must not give orders any more. */
+  /** Returns false as soon as this host must not send orders any more. */
   mayOrder: () => boolean
 }
 
-interface EngineNote {
+interface EngineStatus {
   incarnation: number
-  /** What the engine confirmed in reply to orders, by adapter; counts until its next announcement. */
+  /** Versions that the engine confirmed in reply to orders, by adapter; valid until its next announcement. */
   confirmed: Map<string | undefined, { weightVersion: number, atMs: number }>
   failuresCount: number
   retryAtMs: number
@@ -53,36 +54,36 @@
 export class PoolCoordinator {
   private readonly _options: CoordinatorOptions
   private readonly _orders: EngineOrders
-  private readonly _notes = new Map<string, EngineNote>()
-  /** Engines with an order under way, and when it ends at the latest. */
-  private readonly _ordered = new Map<string, number>()
+  private readonly _engineStatuses = new Map<string, EngineStatus>()
+  /** Deadlines of the orders in flight, by engine. */
+  private readonly _orderDeadlinesMs = new Map<string, number>()
   private readonly _signal = new WakeSignal()
   private _isFenced = false
-  /** Moving mean of how long a swap takes; 0 before the first. */
-  private _swapMs = 0
+  /** Moving average of the duration of a swap; 0 before the first one. */
+  private _meanSwapMs = 0
   private _nextStartAtMs = 0
   private _ordersCount = 0
 
   constructor (options: CoordinatorOptions) {
     this._options = options
-    this._orders = options.parts.engineOrders ?? httpEngineOrders
+    this._orders = options.context.engineOrders ?? httpEngineOrders
   }
 
   wake (): void {
     this._signal.wake()
   }
 
-  /** Stops new orders; returns how long one already sent may still run. */
+  /** Sends no further orders. @returns the time in milliseconds until the last order in flight expires */
   standDown (): number {
     this._isFenced = true
     this.wake()
-    const lastEndsAtMs = Math.max(0, ...this._ordered.values())
-    return Math.max(0, lastEndsAtMs - this._options.parts.clock.nowMs())
+    const lastEndsAtMs = Math.max(0, ...this._orderDeadlinesMs.values())
+    return Math.max(0, lastEndsAtMs - this._options.context.clock.nowMs())
   }
 
-  /** Runs until this host may not give orders any more. */
+  /** Runs until this host may not send orders any more. */
   async run (scope: Scope): Promise<void> {
-    const { clock } = this._options.parts
+    const { clock } = this._options.context
     while (!this._isFenced && this._options.mayOrder()) {
       this._startSwaps(scope)
       const nextStartAtMs = this._nextStartAtMs > clock.nowMs() ? this._nextStartAtMs : Number.POSITIVE_INFINITY
@@ -91,41 +92,41 @@
   }
 
   private _startSwaps (scope: Scope): void {
-    const { parts, pool, spec, targets } = this._options
+    const { context, pool, spec, targets } = this._options
     const poolSpec = spec()
     if (!poolSpec) return
-    const engines = parts.directory.available(pool)
-    const wanted = targets()
+    const engines = context.directory.available(pool)
+    const poolTargets = targets()
     const lagging = engines.flatMap(record => {
-      const target = this._isFree(record) ? nextTarget(record, wanted, adapter => this._confirmedVersion(record, adapter)) : undefined
+      const target = this._mayOrderSwap(record) ? nextTarget(record, poolTargets, adapter => this._confirmedVersion(record, adapter)) : undefined
       return target ? [{ record, target }] : []
     })
     lagging.sort((a, b) => a.record.announcement.load.runningCount - b.record.announcement.load.runningCount)
     const maxCount = maxSwappingCount(engines.length, poolSpec)
-    for (const { record, target } of lagging.slice(0, Math.max(0, maxCount - this._ordered.size))) {
-      const nowMs = parts.clock.nowMs()
+    for (const { record, target } of lagging.slice(0, Math.max(0, maxCount - this._orderDeadlinesMs.size))) {
+      const nowMs = context.clock.nowMs()
       if (this._nextStartAtMs > nowMs) return
-      this._nextStartAtMs = nowMs + this._swapMs * START_GAP / maxCount
+      this._nextStartAtMs = nowMs + this._meanSwapMs * START_SPACING_FACTOR / maxCount
       this._swap(record, target, poolSpec, scope)
     }
   }
 
-  private _isFree (record: EndpointRecord): boolean {
+  private _mayOrderSwap (record: EndpointRecord): boolean {
     const { endpointId } = record.announcement
-    return !this._ordered.has(endpointId) && this._noteOf(record).retryAtMs <= this._options.parts.clock.nowMs()
+    return !this._orderDeadlinesMs.has(endpointId) && this._statusOf(record).retryAtMs <= this._options.context.clock.nowMs()
   }
 
-  private _noteOf ({ announcement: { endpointId, incarnation } }: EndpointRecord): EngineNote {
-    const known = this._notes.get(endpointId)
+  private _statusOf ({ announcement: { endpointId, incarnation } }: EndpointRecord): EngineStatus {
+    const known = this._engineStatuses.get(endpointId)
     if (known?.incarnation === incarnation) return known
-    const note = { incarnation, confirmed: new Map(), failuresCount: 0, retryAtMs: 0 }
-    this._notes.set(endpointId, note)
-    return note
+    const status = { incarnation, confirmed: new Map(), failuresCount: 0, retryAtMs: 0 }
+    this._engineStatuses.set(endpointId, status)
+    return status
   }
 
-  /** An engine that a stray order has set back says so itself; then its word counts, not the reply to us. */
+  /** A later announcement takes precedence over the confirmation, since a stray order may have set the engine back. */
   private _confirmedVersion (record: EndpointRecord, adapter?: string): number | undefined {
-    const confirmed = this._noteOf(record).confirmed.get(adapter)
+    const confirmed = this._statusOf(record).confirmed.get(adapter)
     return confirmed && confirmed.atMs >= record.loadAtMs ? confirmed.weightVersion : undefined
   }
 
@@ -133,34 +134,34 @@
     const { endpointId } = record.announcement
     const swapping = this._runSwap(record, target, spec, scope)
       .finally(() => {
-        this._ordered.delete(endpointId)
+        this._orderDeadlinesMs.delete(endpointId)
         this.wake()
       })
-    // A closed scope ends the swap with the coordinator.
+    // The swap rejects when the scope closes, which also ends the coordinator.
     swapping.catch(() => {})
   }
 
   private async _runSwap (record: EndpointRecord, target: WeightTarget, spec: EndpointPoolSpec, scope: Scope): Promise<void> {
-    const { parts: { clock, logger, metrics }, pool } = this._options
+    const { context: { clock, logger, metrics }, pool } = this._options
     const { endpointId, url } = record.announcement
     const startedAtMs = clock.nowMs()
     const deadlineMs = startedAtMs + ORDER_LIFETIME_MS
-    this._ordered.set(endpointId, deadlineMs)
+    this._orderDeadlinesMs.set(endpointId, deadlineMs)
     const progress = new Progress(clock, scope, deadlineMs)
     const outcome = await this._orders.order(url, this._toOrder(target, spec), progress)
-    const hasTaken = await this._hasTaken(record, target, outcome, scope)
-    metrics.count(MetricName.WeightsSwapped, { outcome: hasTaken ? 'done' : outcome.kind === 'replied' ? outcome.reply.kind : outcome.kind })
-    if (hasTaken) {
+    const isLoaded = await this._isLoaded(record, target, outcome, scope)
+    metrics.count(MetricName.WeightsSwapped, { outcome: isLoaded ? 'done' : outcome.kind === 'replied' ? outcome.reply.kind : outcome.kind })
+    if (isLoaded) {
       const tookMs = clock.nowMs() - startedAtMs
-      this._swapMs = this._swapMs === 0 ? tookMs : this._swapMs + SMOOTHING * (tookMs - this._swapMs)
-      this._noteOf(record).confirmed.set(target.adapter, { weightVersion: target.weightVersion, atMs: clock.nowMs() })
-      this._noteOf(record).failuresCount = 0
+      this._meanSwapMs = this._meanSwapMs === 0 ? tookMs : this._meanSwapMs + SMOOTHING * (tookMs - this._meanSwapMs)
+      this._statusOf(record).confirmed.set(target.adapter, { weightVersion: target.weightVersion, atMs: clock.nowMs() })
+      this._statusOf(record).failuresCount = 0
       logger.event(RolloutEvent.SwapDone, { pool, endpointId, weightVersion: target.weightVersion })
-    } else if (!this._isFenced) this._noteFailure(record, target)
+    } else if (!this._isFenced) this._recordFailure(record, target)
   }
 
   private _toOrder ({ adapter, weightVersion }: WeightTarget, spec: EndpointPoolSpec): Order {
-    const { parts: { hostId, hostIncarnation }, pool, fencingNumber } = this._options
+    const { context: { hostId, hostIncarnation }, pool, fencingNumber } = this._options
     const base = {
       fencing_number: fencingNumber,
       order_id: `${hostId}.${hostIncarnation}.${pool}.${++this._ordersCount}`,
@@ -171,9 +172,9 @@
     return { kind: OrderKind.LoadAdapter, ...base, adapter: `${adapter}@${weightVersion}`, source_url: sourceUrl }
   }
 
-  /** After anything but a clear reply, the engine's own state decides. */
-  private async _hasTaken (record: EndpointRecord, target: WeightTarget, outcome: OrderOutcome, scope: Scope): Promise<boolean> {
-    const { parts: { clock, logger }, pool } = this._options
+  /** Unless the reply is conclusive, the engine's reported state decides. */
+  private async _isLoaded (record: EndpointRecord, target: WeightTarget, outcome: OrderOutcome, scope: Scope): Promise<boolean> {
+    const { context: { clock, logger }, pool } = this._options
     if (outcome.kind === 'replied') {
       if (outcome.reply.kind === 'done') return true
       if (outcome.reply.kind === 'stale_fence') {
@@ -189,18 +190,18 @@
     return adapters.includes(`${target.adapter}@${target.weightVersion}`)
   }
 
-  /** The engine keeps serving what it has; it is asked again later. */
-  private _noteFailure (record: EndpointRecord, { weightVersion }: WeightTarget): void {
-    const { parts: { clock, logger }, pool } = this._options
-    const note = this._noteOf(record)
-    const backoffMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** note.failuresCount)
-    note.failuresCount++
-    note.retryAtMs = clock.nowMs() + backoffMs
+  /** The engine keeps serving its current version; the order is repeated after a backoff. */
+  private _recordFailure (record: EndpointRecord, { weightVersion }: WeightTarget): void {
+    const { context: { clock, logger }, pool } = this._options
+    const status = this._statusOf(record)
+    const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** status.failuresCount)
+    status.failuresCount++
+    status.retryAtMs = clock.nowMs() + backoffMs
     logger.event(RolloutEvent.SwapFailed, { pool, endpointId: record.announcement.endpointId, weightVersion, backoffMs })
   }
 }
 
-/** Engines that may load at once, so that enough of them go on serving; one at least. */
+/** Engines that may load concurrently while enough of them keep serving; at least one. */
 export function maxSwappingCount (enginesCount: number, { minServingPercent, maxFetchingCount }: EndpointPoolSpec): number {
   const spareCount = enginesCount - Math.ceil(enginesCount * minServingPercent / 100)
   return Math.max(1, Math.min(maxFetchingCount, spareCount))
--- a/src/entry/rollouts/weights/weightDistribution.ts
+++ b/src/entry/rollouts/weights/weightDistribution.ts
@@ -1,10 +1,10 @@
 /**
- * Decides which pools this host gives orders to, and runs their coordinators.
+ * Decides which pools this host coordinates, and runs their coordinators.
  *
- * All hosts rank themselves for a pool in the same way; the first that is
- * connected takes the pool's fence. A fencing number makes its orders count
- * and its predecessor's void. Where engines ignore the number, the successor
- * first waits until no order of its predecessor can be under way.
+ * All hosts compute the same ranking of hosts for a pool; the first connected
+ * host acquires the pool's fence. Engines accept its orders and refuse those of
+ * its predecessor by the fencing number. Where engines ignore fencing numbers,
+ * the successor first waits until no order of its predecessor can be in flight.
  */
 import { HostCommandKind } from '../../../protocol/hostCommands.js'
 import { FencingSupport, ResourceKind } from '../../../protocol/resources.js'
@@ -17,43 +17,43 @@
 import { rankHosts } from '../hostRanking.js'
 import type { JobOutlooks } from '../jobOutlooks.js'
 import { RolloutEvent } from '../rolloutEvents.js'
-import type { RolloutParts } from '../rolloutParts.js'
+import type { RolloutContext } from '../rolloutParts.js'
 import { WakeSignal } from '../wakeSignal.js'
 import { ORDER_LIFETIME_MS, PoolCoordinator } from './poolCoordinator.js'
 import { targetsOf } from './weightTargets.js'
 
 const CHECK_INTERVAL_MS = 1_000
 const FENCE_TIMEOUT_MS = 5_000
-/** A host that is cut off gives no orders after its configuration lease, which is shorter. */
-const PREDECESSOR_STOPS_MS = 15_000
+/** A disconnected host sends no orders after its configuration lease, which is shorter than this, has expired. */
+const PREDECESSOR_STOP_TIMEOUT_MS = 15_000
 
-/** The successor asks its predecessor to stop; the answer is when its last order ends. */
+/** Requests the previous coordinator to stop; the reply has the time until its last order expires. */
 const standDown = rpcMethod('rollouts.standDown', z.object({ pool: z.string(), fencingNumber: z.int() }), z.object({ lastOrderRemainingMs: z.number() }))
 
 export class WeightDistribution {
-  private readonly _parts: RolloutParts
+  private readonly _context: RolloutContext
   private readonly _outlooks: JobOutlooks
   private readonly _coordinators = new Map<string, PoolCoordinator>()
-  private readonly _starting = new Set<string>()
+  private readonly _activePools = new Set<string>()
   private readonly _signal = new WakeSignal()
 
-  constructor (parts: RolloutParts, outlooks: JobOutlooks) {
-    this._parts = parts
+  constructor (context: RolloutContext, outlooks: JobOutlooks) {
+    this._context = context
     this._outlooks = outlooks
-    parts.peers.handlers.on(standDown, ({ pool }) => ({ lastOrderRemainingMs: this._coordinators.get(pool)?.standDown() ?? 0 }))
+    context.peers.handlers.on(standDown, ({ pool }) => ({ lastOrderRemainingMs: this._coordinators.get(pool)?.standDown() ?? 0 }))
   }
 
-  /** A version was published, or an engine changed. */
+  /** Must be called when a version was published or an engine has changed. */
   wake (): void {
     this._signal.wake()
     for (const coordinator of this._coordinators.values()) coordinator.wake()
   }
 
   async run (scope: Scope, supervisor: Supervisor): Promise<void> {
-    const { clock } = this._parts
+    const { clock } = this._context
     for (;;) {
       for (const pool of this._pools()) {
-        if (this._mayOrder(pool) && !this._starting.has(pool)) this._start(pool, supervisor)
+        if (this._mayOrder(pool) && !this._activePools.has(pool)) this._start(pool, supervisor)
       }
       await this._signal.wait(clock, scope, clock.nowMs() + CHECK_INTERVAL_MS)
     }
@@ -61,61 +61,61 @@
 
   /** Pools whose jobs have published weights. */
   private _pools (): string[] {
-    const jobs = this._parts.control.configuration.list(ResourceKind.RolloutJob)
+    const jobs = this._context.control.configuration.list(ResourceKind.RolloutJob)
     const pools = new Set(jobs.map(({ spec }) => spec.pool))
     return [...pools].filter(pool => this._targets(pool).length > 0)
   }
 
   private _targets (pool: string) {
-    return targetsOf(pool, this._parts.control.configuration.list(ResourceKind.RolloutJob), job => this._outlooks.get(job))
+    return targetsOf(pool, this._context.control.configuration.list(ResourceKind.RolloutJob), job => this._outlooks.get(job))
   }
 
   private _mayOrder (pool: string): boolean {
-    const { control, peers, hostId } = this._parts
+    const { control, peers, hostId } = this._context
     return control.holdsLease() && rankHosts(`weights/${pool}`, [hostId, ...peers.connectedHostIds()])[0] === hostId
   }
 
   private _start (pool: string, supervisor: Supervisor): void {
-    this._starting.add(pool)
+    this._activePools.add(pool)
     const scope = supervisor.spawn(`weights of ${pool}`, async scope => await this._coordinate(pool, scope))
     scope.onClose(() => {
-      this._starting.delete(pool)
+      this._activePools.delete(pool)
       this._coordinators.delete(pool)
     })
   }
 
   private async _coordinate (pool: string, scope: Scope): Promise<void> {
-    const { clock, control, hostId, logger } = this._parts
+    const { clock, control, hostId, logger } = this._context
     const progress = new Progress(clock, scope, clock.nowMs() + FENCE_TIMEOUT_MS)
     const outcome = await control.submit({ kind: HostCommandKind.AcquireFence, fenceScope: `weights/${pool}`, holder: hostId }, progress)
     if (outcome.kind !== 'committed' || outcome.result.kind !== 'fenced') return await this._pause(scope)
     const { fencingNumber, previousHolder } = outcome.result
     logger.event(RolloutEvent.CoordinatorStarted, { pool, fencingNumber })
-    await this._waitOutPredecessor(pool, fencingNumber, previousHolder, scope)
+    await this._waitForPredecessorOrders(pool, fencingNumber, previousHolder, scope)
     const spec = () => control.configuration.get(ResourceKind.EndpointPool, pool)?.spec
     const coordinator = new PoolCoordinator({
-      parts: this._parts, pool, fencingNumber, spec, targets: () => this._targets(pool), mayOrder: () => this._mayOrder(pool)
+      context: this._context, pool, fencingNumber, spec, targets: () => this._targets(pool), mayOrder: () => this._mayOrder(pool)
     })
     this._coordinators.set(pool, coordinator)
     await coordinator.run(scope)
     await this._pause(scope)
   }
 
-  private async _waitOutPredecessor (pool: string, fencingNumber: number, previousHolder: string | undefined, scope: Scope): Promise<void> {
-    const { clock, control, hostId, logger, peers } = this._parts
+  private async _waitForPredecessorOrders (pool: string, fencingNumber: number, previousHolder: string | undefined, scope: Scope): Promise<void> {
+    const { clock, control, hostId, logger, peers } = this._context
     const fencing = control.configuration.get(ResourceKind.EndpointPool, pool)?.spec.fencing
     if (previousHolder === undefined || fencing === FencingSupport.Enforced) return
-    let waitMs = ORDER_LIFETIME_MS + (previousHolder === hostId ? 0 : PREDECESSOR_STOPS_MS)
+    let waitMs = ORDER_LIFETIME_MS + (previousHolder === hostId ? 0 : PREDECESSOR_STOP_TIMEOUT_MS)
     if (previousHolder !== hostId) {
       const answer = await peers.call(previousHolder, standDown, { pool, fencingNumber }, new Progress(clock, scope, clock.nowMs() + FENCE_TIMEOUT_MS))
       if (answer.kind === 'replied') waitMs = answer.body.lastOrderRemainingMs
     }
-    logger.event(RolloutEvent.CoordinatorWaits, { pool, previousHolder, waitMs })
+    logger.event(RolloutEvent.CoordinatorWaiting, { pool, previousHolder, waitMs })
     await sleepUntil(clock, scope, clock.nowMs() + waitMs)
   }
 
-  /** Before the next try to become coordinator. */
+  /** Waits before the next attempt to become coordinator. */
   private async _pause (scope: Scope): Promise<void> {
-    await sleepUntil(this._parts.clock, scope, this._parts.clock.nowMs() + CHECK_INTERVAL_MS)
+    await sleepUntil(this._context.clock, scope, this._context.clock.nowMs() + CHECK_INTERVAL_MS)
   }
 }
--- a/src/entry/rollouts/weights/weightTargets.ts
+++ b/src/entry/rollouts/weights/weightTargets.ts
@@ -1,6 +1,7 @@
 /**
- * Which weights every engine of a pool should have: the newest published
- * version of each job's lineage, as an absolute target.
+ * The weights that every engine of a pool should have: the newest published
+ * version of the base weights and of each adapter that jobs use, as absolute
+ * version numbers.
  */
 import { versionServed } from '../../../protocol/endpoints.js'
 import type { JobOutlook } from '../../../protocol/rolloutCommands.js'
@@ -23,7 +24,7 @@
   return [...newest].map(([adapter, weightVersion]) => ({ adapter, weightVersion }))
 }
 
-/** What an engine has to load next, if anything. */
+/** The next target that an engine doesn't serve yet. */
 export function nextTarget (record: EndpointRecord, targets: WeightTarget[], knownVersion: (adapter?: string) => number | undefined): WeightTarget | undefined {
   return targets.find(({ adapter, weightVersion }) => {
     const announced = versionServed(record.announcement, adapter)
