--- a/src/entry/rollouts/rolloutProgram.ts
+++ b/src/entry/rollouts/rolloutProgram.ts
@@ -20,7 +20,7 @@
 
 const NOTIFY_TIMEOUT_MS = 2_000
 
-export type { RolloutContext as RolloutParts }
+export type { RolloutContext }
 
 export interface Rollouts {
   /** HTTP routes for trainers. */
--- a/src/entry/rollouts/sampleReplication.ts
+++ b/src/entry/rollouts/sampleReplication.ts
@@ -77,7 +77,7 @@
   }
 
   /** Stores the checkpoint of a running sample on this host and on another one. */
-  async replicateCheckpoint (checkpoint: Checkpoint, progress: Progress): Promise<void> {
+  async checkpoint (checkpoint: Checkpoint, progress: Progress): Promise<void> {
     this._store.putCheckpoint(checkpoint)
     for (const hostId of this._rankedHosts(slotKey(checkpoint)).slice(0, CHECKPOINT_CANDIDATES_COUNT)) {
       const outcome = await this._context.peers.call(hostId, keepCheckpoint, checkpoint, this._callProgress(progress))
--- a/src/entry/rollouts/sampleStore.ts
+++ b/src/entry/rollouts/sampleStore.ts
@@ -47,12 +47,12 @@
   sweep (held: HeldSample[]): void {
     const needed = new Set(held.map(({ attemptId }) => attemptId))
     const oldestMs = this._clock.nowMs() - COMMIT_GRACE_MS
-    for (const [attemptId, { storedAtMs: keptAtMs }] of this._samples) {
-      if (!needed.has(attemptId) && keptAtMs < oldestMs) this._samples.delete(attemptId)
+    for (const [attemptId, { storedAtMs }] of this._samples) {
+      if (!needed.has(attemptId) && storedAtMs < oldestMs) this._samples.delete(attemptId)
     }
     const oldestCheckpointMs = this._clock.nowMs() - CHECKPOINT_LIFETIME_MS
-    for (const [key, { storedAtMs: keptAtMs }] of this._checkpoints) {
-      if (keptAtMs < oldestCheckpointMs) this._checkpoints.delete(key)
+    for (const [key, { storedAtMs }] of this._checkpoints) {
+      if (storedAtMs < oldestCheckpointMs) this._checkpoints.delete(key)
     }
   }
 
--- a/src/entry/rollouts/slotWorker.ts
+++ b/src/entry/rollouts/slotWorker.ts
@@ -185,7 +185,7 @@
     const { job, step, group, index } = this._slot
     const checkpoint = { job, step, group, index, tokens: [...this._partial.tokens], versions: this._partial.versions }
     try {
-      await this._options.replication.replicateCheckpoint(checkpoint, new Progress(clock, scope, clock.nowMs() + CHECKPOINT_TIMEOUT_MS))
+      await this._options.replication.checkpoint(checkpoint, new Progress(clock, scope, clock.nowMs() + CHECKPOINT_TIMEOUT_MS))
     } finally {
       this._isCheckpointing = false
     }
@@ -218,10 +218,10 @@
   }
 
   private async _notifyGroupComplete (pullHostId: string | undefined, progress: Progress): Promise<void> {
-    const { context: { hostId, peers, clock }, onGroupComplete: onGroupWhole } = this._options
+    const { context: { hostId, peers, clock }, onGroupComplete } = this._options
     const { job } = this._slot
     if (pullHostId === undefined) return
-    if (pullHostId === hostId) return onGroupWhole(job)
+    if (pullHostId === hostId) return onGroupComplete(job)
     await peers.call(pullHostId, notifyGroupComplete, { job }, progress.before(clock.nowMs() + NOTIFY_TIMEOUT_MS))
   }
 
--- a/src/entry/scheduling/poolQueue.ts
+++ b/src/entry/scheduling/poolQueue.ts
@@ -77,7 +77,7 @@
   /** Removes requests that have to be evicted for the item, or reports that the item doesn't fit. */
   makeRoomFor (item: WorkItem, pool: EndpointPoolSpec, classMaxCount: number): MakeRoomOutcome {
     const ownCount = this._queueOf(item).count
-    if (ownCount >= classMaxCount) return { kind: 'full', message: `the queue of class ${item.priorityClass} is full with ${ownCount} requests` }
+    if (ownCount >= classMaxCount) return { kind: 'full', message: `${ownCount} requests of class ${item.priorityClass} are queued, which is its limit` }
     if (item.bodyBytes > pool.maxQueuedBytes) return { kind: 'full', message: `a body of ${item.bodyBytes} bytes exceeds the queue's limit of ${pool.maxQueuedBytes} bytes` }
     const victims = this._victimsFor(item, pool)
     if (!victims) return { kind: 'full', message: `the queue is full with ${this._count} requests of ${this._bytes} bytes in total` }
--- a/src/entry/scheduling/priorityScheduler.ts
+++ b/src/entry/scheduling/priorityScheduler.ts
@@ -13,7 +13,7 @@
 import type { SchedulerOptions } from './schedulerParts.js'
 import { retryAfterMs } from './waitForecast.js'
 
-export type { SchedulerOptions as SchedulerParts }
+export type { SchedulerOptions }
 
 class PriorityScheduler implements Scheduler {
   private readonly _options: SchedulerOptions
