--- a/tests/rollouts/rolloutDelivery.test.ts
+++ b/tests/rollouts/rolloutDelivery.test.ts
@@ -9,12 +9,12 @@
 
 const JOB = 'hints'
 
-interface Setting {
+interface TestSetup {
   world: RolloutWorld
   trainer: VirtualTrainer
 }
 
-function setUp (options: WorldOptions = {}, job: Record<string, unknown> = {}, trainer: Partial<VirtualTrainerOptions> = {}): Setting {
+function setUp (options: WorldOptions = {}, job: Record<string, unknown> = {}, trainer: Partial<VirtualTrainerOptions> = {}): TestSetup {
   const world = new RolloutWorld(options)
   world.declareJob(JOB, job)
   return {
@@ -23,21 +23,21 @@
   }
 }
 
-function progressOf ({ world }: Setting): RolloutProgress | null {
+function progressOf ({ world }: TestSetup): RolloutProgress | null {
   const query: { kind: QueryKind.RolloutProgress, job: string } = { kind: QueryKind.RolloutProgress, job: JOB }
   return world.control.state.answer(query)
 }
 
-/** Opens a session and lets the first step become whole without anybody fetching it. */
-async function untilStepIsWhole (setting: Setting): Promise<void> {
-  const { world, trainer } = setting
+/** Opens a session and lets the first step complete without delivering it. */
+async function completeFirstStep (setup: TestSetup): Promise<void> {
+  const { world, trainer } = setup
   await world.clock.advanceUntil(trainer.open())
   await world.clock.advanceUntil(trainer.call('h1', 'pull', trainer.pullBody(0, 0)))
-  await world.until(() => progressOf(setting)?.committedCount === 16)
+  await world.until(() => progressOf(setup)?.committedCount === 16)
 }
 
-async function pullAt (setting: Setting, hostId: string, step = 0): Promise<PullReply> {
-  const { world, trainer } = setting
+async function pullFrom (setup: TestSetup, hostId: string, step = 0): Promise<PullReply> {
+  const { world, trainer } = setup
   const answer = await world.clock.advanceUntil(trainer.call(hostId, 'pull', trainer.pullBody(step, 10_000)))
   if (answer.kind !== 'answered' || answer.status !== 200) throw new Error(JSON.stringify(answer))
   return answer.body as PullReply
@@ -64,73 +64,73 @@
   })
 }
 
-function assertClean (t: ExecutionContext, { world, trainer }: Setting): void {
+function assertClean (t: ExecutionContext, { world, trainer }: TestSetup): void {
   t.deepEqual(trainer.violations, [])
   t.deepEqual(world.fatal, [])
   world.stop()
 }
 
-test('should deliver whole steps with true versions while weights change every step', async t => {
-  const setting = setUp()
-  await setting.world.clock.advanceUntil(setting.trainer.run(0, 5))
-  t.is(setting.trainer.heldPosition, 80)
-  t.true([...setting.world.engines.values()].every(({ weightVersion }) => weightVersion >= 4))
-  assertClean(t, setting)
+test('should deliver complete steps with correct versions while weights change every step', async t => {
+  const setup = setUp()
+  await setup.world.clock.advanceUntil(setup.trainer.run(0, 5))
+  t.is(setup.trainer.heldPosition, 80)
+  t.true([...setup.world.engines.values()].every(({ weightVersion }) => weightVersion >= 4))
+  assertClean(t, setup)
 })
 
-test('should deliver samples whose host was killed before anybody fetched them', async t => {
-  const setting = setUp()
-  await untilStepIsWhole(setting)
-  const generatedCount = setting.world.record.generatedCount
-  setting.world.killHost('h1')
-  setting.trainer.take(await pullAt(setting, 'h2'))
-  t.is(setting.trainer.heldPosition, 16)
-  t.is(setting.world.record.generatedCount, generatedCount, 'nothing was generated again')
-  assertClean(t, setting)
+test('should deliver samples whose host was killed before they were fetched', async t => {
+  const setup = setUp()
+  await completeFirstStep(setup)
+  const generatedCount = setup.world.record.generatedCount
+  setup.world.killHost('h1')
+  setup.trainer.accept(await pullFrom(setup, 'h2'))
+  t.is(setup.trainer.heldPosition, 16)
+  t.is(setup.world.record.generatedCount, generatedCount, 'nothing was generated again')
+  assertClean(t, setup)
 })
 
-test('should copy samples again after a loss, so that a second loss after the repair costs nothing', async t => {
-  const setting = setUp({ hostsCount: 4 })
-  await untilStepIsWhole(setting)
-  const generatedCount = setting.world.record.generatedCount
-  setting.world.killHost('h1')
-  await setting.world.clock.advance(12_000)
-  setting.world.killHost('h2')
-  setting.trainer.take(await pullAt(setting, 'h3'))
-  t.is(setting.trainer.heldPosition, 16)
-  t.is(setting.world.record.generatedCount, generatedCount)
-  assertClean(t, setting)
+test('should copy samples again after the loss of a host, so that a second loss after the repair discards nothing', async t => {
+  const setup = setUp({ hostsCount: 4 })
+  await completeFirstStep(setup)
+  const generatedCount = setup.world.record.generatedCount
+  setup.world.killHost('h1')
+  await setup.world.clock.advance(12_000)
+  setup.world.killHost('h2')
+  setup.trainer.accept(await pullFrom(setup, 'h3'))
+  t.is(setup.trainer.heldPosition, 16)
+  t.is(setup.world.record.generatedCount, generatedCount)
+  assertClean(t, setup)
 })
 
-test('should run lost contents again under their own positions', async t => {
-  const setting = setUp()
-  await untilStepIsWhole(setting)
-  const first = await pullAt(setting, 'h3')
-  for (const hostId of ['h1', 'h2', 'h3']) setting.world.killHost(hostId)
-  for (const hostId of ['h1', 'h2', 'h3']) setting.world.startHost(hostId)
-  const lost = setting.trainer.call('h1', 'pull', setting.trainer.pullBody(0, 0))
-  await setting.world.clock.advanceUntil(lost)
-  await setting.world.clock.advanceUntil(setting.trainer.runStep(0))
-  const placeOf = ({ position, group, index }: Sample): string => `${position} ${group}/${index}`
-  t.deepEqual(setting.trainer.samples.map(placeOf), first.samples.map(placeOf))
-  t.like(progressOf(setting), { rerunCount: 16 })
-  assertClean(t, setting)
+test('should generate lost contents again for the same positions', async t => {
+  const setup = setUp()
+  await completeFirstStep(setup)
+  const first = await pullFrom(setup, 'h3')
+  for (const hostId of ['h1', 'h2', 'h3']) setup.world.killHost(hostId)
+  for (const hostId of ['h1', 'h2', 'h3']) setup.world.startHost(hostId)
+  const lost = setup.trainer.call('h1', 'pull', setup.trainer.pullBody(0, 0))
+  await setup.world.clock.advanceUntil(lost)
+  await setup.world.clock.advanceUntil(setup.trainer.runStep(0))
+  const slotAt = ({ position, group, index }: Sample): string => `${position} ${group}/${index}`
+  t.deepEqual(setup.trainer.samples.map(slotAt), first.samples.map(slotAt))
+  t.like(progressOf(setup), { rerunCount: 16 })
+  assertClean(t, setup)
 })
 
-test('should give the same samples again when an answer was lost, on whatever host', async t => {
-  const setting = setUp()
-  await untilStepIsWhole(setting)
-  const first = await pullAt(setting, 'h1')
-  const again = await pullAt(setting, 'h2')
+test('should return the same samples again on any host when a reply was lost', async t => {
+  const setup = setUp()
+  await completeFirstStep(setup)
+  const first = await pullFrom(setup, 'h1')
+  const again = await pullFrom(setup, 'h2')
   t.deepEqual(again, first)
-  setting.trainer.take(again)
-  t.is(setting.trainer.heldPosition, 16)
-  assertClean(t, setting)
+  setup.trainer.accept(again)
+  t.is(setup.trainer.heldPosition, 16)
+  assertClean(t, setup)
 })
 
-test('should give two pulls at once the same samples, and refuse the one that fell behind', async t => {
-  const setting = setUp()
-  const { world, trainer } = setting
+test('should return the same samples to two concurrent pulls, and refuse the one that fell behind', async t => {
+  const setup = setUp()
+  const { world, trainer } = setup
   await world.clock.advanceUntil(trainer.open())
   const body = trainer.pullBody(0, 30_000)
   const both = Promise.all([trainer.call('h1', 'pull', body), trainer.call('h2', 'pull', body)])
@@ -139,132 +139,132 @@
   const commonCount = Math.min(samplesA?.length ?? 0, samplesB?.length ?? 0)
   t.true(commonCount > 0)
   t.deepEqual(attemptIds(samplesA ?? []).slice(0, commonCount), attemptIds(samplesB ?? []).slice(0, commonCount))
-  trainer.take((a as { body: PullReply }).body)
+  trainer.accept((a as { body: PullReply }).body)
   await world.clock.advanceUntil(trainer.call('h3', 'pull', trainer.pullBody(0, 0)))
   t.is(statusOf(await world.clock.advanceUntil(trainer.call('h2', 'pull', body))), 409)
-  assertClean(t, setting)
+  assertClean(t, setup)
 })
 
 test('should fence the pulls and publishes of an older session on every host', async t => {
-  const setting = setUp()
-  const { world, trainer } = setting
-  await untilStepIsWhole(setting)
+  const setup = setUp()
+  const { world, trainer } = setup
+  await completeFirstStep(setup)
   const older = trainer.pullBody(0, 0)
   await world.clock.advanceUntil(trainer.open())
   t.is(statusOf(await world.clock.advanceUntil(trainer.call('h2', 'pull', older))), 409)
   t.is(statusOf(await world.clock.advanceUntil(trainer.call('h3', 'weights', { sessionNumber: older.sessionNumber, weightVersion: 7 }))), 409)
-  trainer.take(await pullAt(setting, 'h1'))
-  t.is(trainer.heldPosition, 16, 'the new session gets what the older one had not confirmed')
-  assertClean(t, setting)
+  trainer.accept(await pullFrom(setup, 'h1'))
+  t.is(trainer.heldPosition, 16, 'the new session gets the samples that the older one had not confirmed')
+  assertClean(t, setup)
 })
 
-test('should name every version that made a sample when weights are swapped during it', async t => {
-  const setting = setUp({ drawLength: () => 900 }, { stalenessBoundVersions: 2 }, { stalenessBoundVersions: 2 })
-  const { world, trainer } = setting
+test('should list every version that generated tokens of a sample when weights are swapped during it', async t => {
+  const setup = setUp({ drawLength: () => 900 }, { stalenessBoundVersions: 2 }, { stalenessBoundVersions: 2 })
+  const { world, trainer } = setup
   await world.clock.advanceUntil(trainer.open())
   await world.clock.advanceUntil(trainer.call('h1', 'pull', trainer.pullBody(0, 0)))
   await world.clock.advance(3_000)
   await world.clock.advanceUntil(trainer.publish(1))
   await world.clock.advanceUntil(trainer.runStep(0))
   t.true(trainer.samples.some(({ versions }) => versions.length > 1))
-  assertClean(t, setting)
+  assertClean(t, setup)
 })
 
-test('should drop samples that wait at the door when the trainer steps past the bound', async t => {
-  const setting = setUp()
-  const { world, trainer } = setting
-  await untilStepIsWhole(setting)
+test('should drop undelivered samples when the trainer advances past the staleness bound', async t => {
+  const setup = setUp()
+  const { world, trainer } = setup
+  await completeFirstStep(setup)
   await world.clock.advanceUntil(trainer.publish(1))
   await world.clock.advanceUntil(trainer.publish(2))
   await world.clock.advanceUntil(trainer.runStep(0))
-  t.like(progressOf(setting), { staleDroppedCount: 16 })
+  t.like(progressOf(setup), { staleDroppedCount: 16 })
   t.is(trainer.heldPosition, 16)
-  assertClean(t, setting)
+  assertClean(t, setup)
 })
 
-test('should take over the slots of a host that is cut off, and drop its late results', async t => {
-  const setting = setUp({ drawLength: (_prompt, random) => random.int(300, 400) })
-  const { world, trainer } = setting
+test('should reassign the slots of a disconnected host, and drop its late results', async t => {
+  const setup = setUp({ drawLength: (_prompt, random) => random.int(300, 400) })
+  const { world, trainer } = setup
   const step = trainer.open().then(async () => await trainer.runStep(0))
   await world.clock.advance(1_000)
-  const frozen = world.hosts.get('h2')
-  if (!frozen) return t.fail()
-  const submit = frozen.control.submit.bind(frozen.control)
-  const held: Array<() => void> = []
-  frozen.control.submit = async command => {
-    await new Promise<void>(resolve => held.push(resolve))
+  const disconnected = world.hosts.get('h2')
+  if (!disconnected) return t.fail()
+  const submit = disconnected.control.submit.bind(disconnected.control)
+  const blockedSubmits: Array<() => void> = []
+  disconnected.control.submit = async command => {
+    await new Promise<void>(resolve => blockedSubmits.push(resolve))
     return await submit(command)
   }
   await world.clock.advance(20_000)
-  frozen.control.submit = submit
-  for (const release of held) release()
+  disconnected.control.submit = submit
+  for (const release of blockedSubmits) release()
   await world.clock.advanceUntil(step)
-  t.true((progressOf(setting)?.rerunCount ?? 0) > 0)
-  t.true(world.counted('sample.dropped{reason=late}') > 0, 'late results were dropped and counted')
+  t.true((progressOf(setup)?.rerunCount ?? 0) > 0)
+  t.true(world.sumOfCounters('sample.dropped{reason=late}') > 0, 'late results were dropped and counted')
   t.is(trainer.heldPosition, 16)
-  assertClean(t, setting)
+  assertClean(t, setup)
 })
 
-test('should go on behind the checkpoints of a killed host instead of starting again', async t => {
-  const setting = setUp({ drawLength: () => 2_000 })
-  const { world, trainer } = setting
+test('should resume from the checkpoints of a killed host instead of starting over', async t => {
+  const setup = setUp({ drawLength: () => 2_000 })
+  const { world, trainer } = setup
   const step = trainer.open().then(async () => await trainer.runStep(0))
   await world.clock.advance(15_000)
-  const before = world.record.generatedCount
+  const generatedBefore = world.record.generatedCount
   world.killHost('h2')
   await world.clock.advanceUntil(step)
-  const wasted = world.record.generatedCount - 16 * 2_000
-  t.true(before > 10_000)
-  // h2 ran about a third of the slots; each may lose what came after its last checkpoint.
-  t.true(wasted < 8 * 600, `${wasted} tokens were made twice`)
-  assertClean(t, setting)
+  const discardedCount = world.record.generatedCount - 16 * 2_000
+  t.true(generatedBefore > 10_000)
+  // h2 ran about a third of the slots; each of them may lose the tokens after its last checkpoint.
+  t.true(discardedCount < 8 * 600, `${discardedCount} tokens were generated twice`)
+  assertClean(t, setup)
 })
 
-test('should go on through a change of leader and lost answers in the middle of a step', async t => {
-  const setting = setUp()
-  const { world, trainer } = setting
+test('should complete steps despite a change of leader and lost replies', async t => {
+  const setup = setUp()
+  const { world, trainer } = setup
   const run = trainer.run(0, 3)
   await world.clock.advance(700)
   world.controlDownUntilMs = world.clock.nowMs() + 6_000
-  world.lostAnswers = 0.3
+  world.lostReplyFraction = 0.3
   await world.clock.advanceUntil(run)
   t.is(trainer.heldPosition, 48)
-  assertClean(t, setting)
+  assertClean(t, setup)
 })
 
-test('should go on when an engine is lost, with the tokens it had made', async t => {
-  const setting = setUp({ drawLength: () => 600 })
-  const { world, trainer } = setting
+test('should resume from the tokens of an engine that is lost', async t => {
+  const setup = setUp({ drawLength: () => 600 })
+  const { world, trainer } = setup
   const run = trainer.run(0, 2)
   await world.clock.advance(4_000)
   world.engines.get('e1')?.crash()
   await world.clock.advanceUntil(run)
-  const wasted = world.record.generatedCount - trainer.samples.reduce((sum, { tokens }) => sum + tokens.length, 0)
+  const discardedCount = world.record.generatedCount - trainer.samples.reduce((sum, { tokens }) => sum + tokens.length, 0)
   t.true(trainer.samples.some(({ versions }) => new Set(versions.map(({ engineId }) => engineId)).size > 1))
-  t.is(wasted, 0, 'every token that was made was delivered')
-  assertClean(t, setting)
+  t.is(discardedCount, 0, 'every generated token was delivered')
+  assertClean(t, setup)
 })
 
-test('should move samples off an engine that has become slow, with their tokens', async t => {
-  const setting = setUp({ drawLength: () => 900 }, { groupsPerStepCount: 3 }, { samplesPerStepCount: 12 })
-  const { world, trainer } = setting
+test('should move samples with their tokens off an engine that has become slow', async t => {
+  const setup = setUp({ drawLength: () => 900 }, { groupsPerStepCount: 3 }, { samplesPerStepCount: 12 })
+  const { world, trainer } = setup
   const run = trainer.run(0, 1)
   await world.clock.advance(3_000)
   const slow = world.engines.get('e1')
   if (slow) slow.slowFactor = 10
   await world.clock.advanceUntil(run)
-  t.true(world.counted('sample.moved') > 0)
-  t.is(world.record.generatedCount, 12 * 900, 'no token was made twice')
+  t.true(world.sumOfCounters('sample.moved') > 0)
+  t.is(world.record.generatedCount, 12 * 900, 'no token was generated twice')
   t.true((trainer.steps[0]?.durationMs ?? 0) < 40_000, 'the slow engine would have taken more than 90 s for its samples')
-  assertClean(t, setting)
+  assertClean(t, setup)
 })
 
 test('should score samples through services that refuse and fail, without losing them', async t => {
   let callsCount = 0
-  const setting = setUp({
+  const setup = setUp({
     scoreCall: async () => ++callsCount % 3 === 0 ? { kind: 'scored', score: callsCount } : { kind: callsCount % 3 === 1 ? 'refused' : 'failed', message: 'busy' }
   }, { scoringPool: 'scorers' })
-  const { world, trainer } = setting
+  const { world, trainer } = setup
   world.control.put(ResourceKind.EndpointPool, 'scorers', { endpointKind: EndpointKind.Service })
   const announce = (): void => {
     for (const endpointId of ['s1', 's2']) world.directory.put(scorerAnnouncement(endpointId))
@@ -275,5 +275,5 @@
   t.true(trainer.samples.every(({ score }) => score !== null))
   const lengths = trainer.samples.reduce((sum, { tokens }) => sum + tokens.length, 0)
   t.is(world.record.generatedCount, lengths, 'no sample was generated twice for its score')
-  assertClean(t, setting)
+  assertClean(t, setup)
 })
--- a/tests/rollouts/rolloutFuzz.test.ts
+++ b/tests/rollouts/rolloutFuzz.test.ts
@@ -64,7 +64,7 @@
         world.startHost(hostId)
         return
       }
-      case 'cutHost': return world.peers.cut(`h${fault.host}`)
+      case 'cutHost': return world.peers.partition(`h${fault.host}`)
       case 'strayPull': {
         const stray = trainer.call(`h${fault.host}`, 'pull', trainer.pullBody(trainer.steps.length, 1_000))
         stray.catch(() => {})
@@ -79,10 +79,10 @@
         world.controlDownUntilMs = clock.nowMs() + fault.forMs
         return
       case 'lostAnswers':
-        world.lostAnswers = fault.part
+        world.lostReplyFraction = fault.part
         return
       case 'newSession': {
-        // The trainer's process is restarted: what it holds is in its checkpoint.
+        // Simulates a restart of the trainer, which restores the samples that it holds from its checkpoint.
         const stray = trainer.reopen()
         stray.catch(() => {})
         return
@@ -107,12 +107,12 @@
 
   private _heal (): void {
     this.world.peers.heal()
-    this.world.lostAnswers = 0
+    this.world.lostReplyFraction = 0
     this.world.controlDownUntilMs = 0
   }
 }
 
-test('should deliver each position once, fresh, and with true versions, whatever fails in whatever order', async t => {
+test('should deliver each position once, within the staleness bound and with correct versions, under any sequence of faults', async t => {
   const property = fc.asyncProperty(fc.integer({ min: 1, max: 1_000_000 }), fc.integer({ min: 0, max: 1 }), fc.integer({ min: 0, max: 2 }), timedFaults,
     async (seed, startAheadSteps, stalenessBound, faults) => {
       const run = new FaultyRun(seed, startAheadSteps, stalenessBound)
--- a/tests/rollouts/rolloutLedger.test.ts
+++ b/tests/rollouts/rolloutLedger.test.ts
@@ -13,7 +13,7 @@
   return harness
 }
 
-test('should offer a group only when it is whole, and give positions without a gap', t => {
+test('should offer a group only when it is complete, and assign positions without gaps', t => {
   const harness = opened()
   const slots = harness.lease()
   t.is(slots.length, 4)
@@ -26,13 +26,13 @@
   harness.commit(b1)
   t.deepEqual(harness.positions(), [1, 2])
   harness.commit(a1)
-  t.deepEqual(harness.positions(), [1, 2], 'an equal pull gets the same samples again')
+  t.deepEqual(harness.positions(), [1, 2], 'a repeated pull gets the same samples')
   t.deepEqual(harness.positions({ heldPosition: 1 }), [2])
   t.like(harness.pull({ heldPosition: 2 }), { stepComplete: true })
   t.deepEqual(harness.positions({ heldPosition: 2 }), [3, 4])
 })
 
-test('should replay the same attempts to an equal pull on another host', t => {
+test('should return the same attempts to a repeated pull on another host', t => {
   const harness = opened()
   for (const slot of harness.lease()) harness.commit(slot)
   const first = harness.pull()
@@ -41,7 +41,7 @@
   t.deepEqual(again, first)
 })
 
-test('should fence the older session, and keep a session whose opening is resent', t => {
+test('should fence the older session, and return the same session when its opening is resent', t => {
   const harness = opened()
   t.is(harness.open('s1'), 1)
   t.is(harness.open('s2'), 2)
@@ -49,7 +49,7 @@
   t.like(harness.apply({ kind: RolloutCommandKind.PublishWeights, job: JOB, sessionNumber: 1, weightVersion: 9 }), { kind: 'sessionFenced' })
 })
 
-test('should refuse cursors and steps at which the session cannot be', t => {
+test('should refuse cursors and steps that contradict the state of the session', t => {
   const harness = opened()
   for (const slot of harness.lease()) harness.commit(slot)
   t.deepEqual(harness.positions(), [1, 2, 3, 4])
@@ -60,7 +60,7 @@
   t.like(harness.pull({ heldPosition: 4 }), { reason: 'stepPassed' })
 })
 
-test('should commit the first whole attempt only, and count late ones', t => {
+test('should commit only the first complete attempt, and refuse late ones', t => {
   const harness = opened()
   const [slot] = harness.lease('h1', 1)
   if (!slot) return t.fail()
@@ -72,7 +72,7 @@
   t.is(harness.commit(again ?? slot).kind, 'sampleCommitted', 'a resent commit is the same commit')
 })
 
-test('should free the slots that a host does not name, and those of its earlier process', t => {
+test('should free the slots that a host does not list, and those of its earlier incarnation', t => {
   const harness = opened()
   const [kept, lost] = harness.lease('h1', 2)
   const renewed = harness.renew('h1', [kept?.attemptId ?? '', 'unknown'])
@@ -91,10 +91,10 @@
   t.like(harness.ledger.progress(JOB), { staleDroppedCount: 1, rerunCount: 1, waitingCount: 4 })
 })
 
-test('should drop samples that wait at the door when the trainer moves past the bound', t => {
+test('should drop offered samples when the trainer advances past the staleness bound', t => {
   const harness = opened()
   for (const slot of harness.lease()) harness.commit(slot, 0)
-  t.deepEqual(harness.positions(), [1, 2, 3, 4], 'offered, but the answer is lost')
+  t.deepEqual(harness.positions(), [1, 2, 3, 4], 'offered, but the reply is lost')
   t.deepEqual(harness.positions({ trainerVersion: 2 }), [])
   for (const slot of harness.lease()) harness.commit(slot, 2)
   const again = harness.pull({ trainerVersion: 2 })
@@ -105,20 +105,20 @@
   const harness = opened({ stalenessBoundVersions: 0 })
   for (const slot of harness.lease()) harness.commit(slot, 0)
   harness.apply({ kind: RolloutCommandKind.PublishWeights, job: JOB, sessionNumber: 1, weightVersion: 1 })
-  t.deepEqual(harness.positions({ trainerVersion: 0 }), [], 'the trainer has version 1, whatever the racing pull names')
+  t.deepEqual(harness.positions({ trainerVersion: 0 }), [], 'the trainer has version 1, whatever version the concurrent pull states')
   t.like(harness.ledger.progress(JOB), { staleDroppedCount: 4, waitingCount: 4 })
 })
 
-test('should deliver before a publish that is applied after the pull, and keep what was offered', t => {
+test('should not drop offered samples for a publish that is applied after the pull', t => {
   const harness = opened({ stalenessBoundVersions: 0 })
   for (const slot of harness.lease()) harness.commit(slot, 0)
   t.deepEqual(harness.positions(), [1, 2, 3, 4])
   harness.apply({ kind: RolloutCommandKind.PublishWeights, job: JOB, sessionNumber: 1, weightVersion: 1 })
-  t.deepEqual(harness.positions({ step: 1, heldPosition: 4, trainerVersion: 1 }), [], 'step 1 begins; nothing of step 0 runs again')
+  t.deepEqual(harness.positions({ step: 1, heldPosition: 4, trainerVersion: 1 }), [], 'step 1 starts; no sample of step 0 is generated again')
   t.like(harness.ledger.progress(JOB), { staleDroppedCount: 0, confirmedPosition: 4 })
 })
 
-test('should fill the position of a lost content again, and hold its group back until then', t => {
+test('should fill the position of a lost content again, and withhold its group until then', t => {
   const harness = opened()
   for (const slot of harness.lease()) harness.commit(slot)
   t.deepEqual(harness.positions(), [1, 2, 3, 4])
@@ -130,14 +130,14 @@
   const drop = { kind: RolloutCommandKind.DropSample, job, step, group, index, attemptId, reason: SampleDropReason.ContentLost } as const
   harness.apply(drop)
   harness.apply(drop)
-  t.deepEqual(harness.positions(), [1, 2], 'the group of the lost sample is not whole')
+  t.deepEqual(harness.positions(), [1, 2], 'the group of the lost sample is incomplete')
   const [again] = harness.lease()
   harness.commit(again ?? t.fail() as never)
   const replayed = harness.pull({ heldPosition: 2 })
   t.like(replayed, { deliverable: [{ position: 3 }, { position: 4, group, index, attemptId: again?.attemptId }], stepComplete: true })
 })
 
-test('should start likely-long slots first, and slots that hold up the trainer before them', t => {
+test('should start slots with a long expected length first, and slots that block the trainer before them', t => {
   const harness = opened({ prompts: ['short', 'long'], groupSizeCount: 1 })
   for (const slot of harness.lease()) harness.commit(slot, 0, slot.prompt === 'long' ? 900 : 30)
   harness.positions()
@@ -145,13 +145,13 @@
   t.deepEqual(harness.lease().map(({ prompt }) => prompt), ['long', 'short'])
 })
 
-test('should start later steps only with weights that will be within the bound, less by the knob', t => {
+test('should start later steps only with weights that will be within the staleness bound, and none of them at a stalenessWeight of 1', t => {
   const ahead = (stalenessWeight: number): number => {
     const harness = opened({ startAheadSteps: 2, stalenessWeight })
     return harness.lease('h1', 100, 100).filter(({ isAhead }) => isAhead).length
   }
   t.is(ahead(0), 4, 'one step ahead at a bound of one version')
-  t.is(ahead(1), 0, 'nothing ahead of its weights where staleness is all that counts')
+  t.is(ahead(1), 0, 'nothing ahead of its weights when only staleness counts')
 })
 
 test('should keep the size of its state bounded over many steps', t => {
@@ -168,7 +168,7 @@
   t.true((sizes[49] ?? 0) < 1.2 * (sizes[5] ?? 0), `grew from ${sizes[5]} to ${sizes[49]} bytes`)
 })
 
-test('should go on from a snapshot as from itself, and forget a deleted job', t => {
+test('should continue from a snapshot with the same state, and remove a deleted job', t => {
   const harness = opened()
   const [slot] = harness.lease('h1', 1)
   harness.commit(slot ?? t.fail() as never)
--- a/tests/scheduling/admission.test.ts
+++ b/tests/scheduling/admission.test.ts
@@ -10,7 +10,7 @@
   t.like(await fixture.assign({ priorityClass: 'none' }), { kind: 'refused', reason: RefusalReason.UnknownPriorityClass })
 })
 
-test('should never run more on an endpoint than it takes, and go on when one finishes', async t => {
+test('should never exceed the concurrency limit of an endpoint, and dispatch again when a request finishes', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one', { maxConcurrentCount: 2 })
   const outcomes = await settledOf([1, 2, 3].map(() => fixture.assign({ priorityClass: 'bronze' })))
@@ -21,7 +21,7 @@
   t.is(outcomes.length, 3)
 })
 
-test('should refuse past the bounds of a class in count and of a pool in bytes', async t => {
+test('should refuse requests beyond the queue limits of a class in count and of a pool in bytes', async t => {
   const fixture = new SchedulingFixture({ pool: { maxQueuedBytes: 250 }, classes: { gold: { paidWeight: 1, maxQueuedCount: 3 } } })
   const byBytes = await settledOf([1, 2, 3].map(() => fixture.assign()))
   t.like(byBytes, [{ kind: 'refused', reason: RefusalReason.QueueFull }])
@@ -29,7 +29,7 @@
   t.like(byCount, [{ kind: 'refused', reason: RefusalReason.QueueFull }])
 })
 
-test('should make the class furthest over its share give way when the pool is full', async t => {
+test('should evict from the class that most exceeds its share when the queue of the pool is full', async t => {
   const fixture = new SchedulingFixture({ pool: { maxQueuedCount: 3 } })
   const flood = [1, 2, 3].map(() => fixture.assign({ priorityClass: 'bronze' }))
   const gold = fixture.assign({ priorityClass: 'gold' })
@@ -38,7 +38,7 @@
   t.like(await flood[2], { kind: 'refused' })
 })
 
-test('should limit a caller in requests at once and in requests a second', async t => {
+test('should limit the concurrent requests and the request rate of a caller', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one')
   fixture.configuration.put(ResourceKind.CallerLimit, 'caller', { maxConcurrentCount: 2, requestsPerSecond: 3 })
@@ -55,7 +55,7 @@
   await fixture.assigned()
 })
 
-test('should spread the callers whom it sends away over time', async t => {
+test('should spread the retries of refused callers over time', async t => {
   const fixture = new SchedulingFixture({ classes: { gold: { paidWeight: 1, maxQueuedCount: 1 } } })
   const waiting = fixture.assign()
   const instants = new Set<number>()
@@ -67,7 +67,7 @@
   t.deepEqual(await settledOf([waiting]), [])
 })
 
-test('should refuse at once what needs longer to run than its deadline allows', async t => {
+test('should refuse immediately a request that cannot finish before its deadline', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one')
   await fixture.clock.advanceUntil(fixture.runOne(10))
@@ -75,7 +75,7 @@
   t.like(await fixture.assign({ expectedTokensCount: 100 }, 1100), { kind: 'assigned' })
 })
 
-test('should refuse waiting work at the moment from which it could not meet its deadline', async t => {
+test('should refuse a queued request at the moment from which it cannot meet its deadline', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one', { maxConcurrentCount: 1 })
   await fixture.clock.advanceUntil(fixture.runOne(10))
@@ -87,7 +87,7 @@
   t.like(await waiting, { kind: 'refused', reason: RefusalReason.DeadlineUnreachable })
 })
 
-test('should refuse on arrival when the queue before it takes too long', async t => {
+test('should refuse a request on arrival when the queue would take too long for its deadline', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one', { maxConcurrentCount: 1 })
   await fixture.clock.advanceUntil(fixture.runOne(10))
@@ -95,11 +95,11 @@
   await fixture.clock.advance(1000)
   t.true((await settledOf(backlog)).length < 12)
   t.like(await fixture.assign({ priorityClass: 'bronze' }, 1500), { kind: 'refused', reason: RefusalReason.DeadlineUnreachable })
-  const patient = await settledOf([fixture.assign({ priorityClass: 'bronze' }, 5000)])
-  t.deepEqual(patient, [])
+  const admitted = await settledOf([fixture.assign({ priorityClass: 'bronze' }, 5000)])
+  t.deepEqual(admitted, [])
 })
 
-test('should refuse work that no endpoint can take, after a grace time', async t => {
+test('should refuse a request that no endpoint can take, after a grace period', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one')
   const excluded = fixture.assign({ excludedEndpointIds: ['one'] })
@@ -110,7 +110,7 @@
   t.true(fixture.clock.nowMs() < 5000)
 })
 
-test('should refuse at once work that every endpoint of the pool has failed', async t => {
+test('should refuse immediately a request that has failed on every endpoint of the pool', async t => {
   const fixture = new SchedulingFixture()
   for (const name of ['one', 'two']) fixture.announce(name)
   const [outcome] = await settledOf([fixture.assign({ excludedEndpointIds: ['one', 'two'] })])
@@ -118,17 +118,17 @@
   t.is(fixture.clock.nowMs(), 0)
 })
 
-test('should forget work whose caller has gone, waiting or running', async t => {
+test('should release the requests of a disconnected caller, queued or running', async t => {
   const fixture = new SchedulingFixture()
   fixture.configuration.put(ResourceKind.CallerLimit, 'caller', { maxConcurrentCount: 1, requestsPerSecond: 100 })
-  const gone = fixture.progress()
-  const waiting = fixture.scheduler.assign(fixture.item(), gone)
-  gone.scope.close('caller gone')
+  const queuedProgress = fixture.progress()
+  const waiting = fixture.scheduler.assign(fixture.item(), queuedProgress)
+  queuedProgress.scope.close('caller gone')
   await t.throwsAsync(waiting, { instanceOf: ScopeClosedError })
   fixture.announce('one', { maxConcurrentCount: 1 })
-  const silent = fixture.progress()
-  t.like(await fixture.scheduler.assign(fixture.item(), silent), { kind: 'assigned' })
-  silent.scope.close('caller gone')
+  const runningProgress = fixture.progress()
+  t.like(await fixture.scheduler.assign(fixture.item(), runningProgress), { kind: 'assigned' })
+  runningProgress.scope.close('caller gone')
   await fixture.clock.advance(2000)
   t.like(await fixture.assign(), { kind: 'assigned' })
 })
@@ -141,7 +141,7 @@
   t.throws(() => assignment.finish({ kind: 'cancelled' }), { message: /finished twice/ })
 })
 
-test('should take retries only from a budget that first tries fill, counted by reason', async t => {
+test('should take retries only from a budget that first attempts fill, and count them by reason', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one')
   const takeAll = (): number => {
@@ -155,7 +155,7 @@
   t.is(fixture.metrics.snapshot()[`request.retried{pool=${POOL},reason=connect_failed}`], 12)
 })
 
-test('should explain what was decided for a request, and forget the oldest', async t => {
+test('should explain the decisions on a request, and evict the oldest requests', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one')
   const first = await fixture.assigned({ requestId: 'first' })
--- a/tests/scheduling/choice.test.ts
+++ b/tests/scheduling/choice.test.ts
@@ -4,7 +4,7 @@
 
 const PROMPT = 'A prompt that many requests share from its start on. '.repeat(30)
 
-/** Where so many requests go, each finished before the next. */
+/** The endpoints of `count` requests, each of which is finished before the next one. */
 async function endpointsOf (fixture: SchedulingFixture, count: number, affinityText?: string): Promise<string[]> {
   const chosen: string[] = []
   for (let index = 0; index < count; index++) {
@@ -15,12 +15,12 @@
   return chosen
 }
 
-/** Prompts of other kinds, so that the shared one is a small part of the traffic. */
+/** Sends requests with other prompts, so that the shared prefix has a small share of the traffic. */
 async function sendOthers (fixture: SchedulingFixture): Promise<void> {
   for (let index = 0; index < 100; index++) await endpointsOf(fixture, 1, `${index} is the start of another prompt. `.repeat(30))
 }
 
-test('should correct an old load report by what this host did since', async t => {
+test('should correct an old load report by the requests that this host started since', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one', { maxConcurrentCount: 8, load: { runningCount: 0, waitingCount: 0, kvUsedPercent: 0, tokensPerSecond: 0, ageMs: 0 } })
   fixture.announce('two', { maxConcurrentCount: 8, load: { runningCount: 1, waitingCount: 0, kvUsedPercent: 0, tokensPerSecond: 0, ageMs: 0 } })
@@ -32,7 +32,7 @@
   t.deepEqual(counts, { one: 5, two: 4 })
 })
 
-test('should not count its own requests twice when a report shows them', async t => {
+test('should not count its own requests twice when a load report includes them', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one')
   await fixture.assigned()
@@ -44,17 +44,17 @@
   t.like(decision, { candidates: [{ estimatedCount: 3, ownCount: 2, reportAgeMs: 50 }] })
 })
 
-test('should keep the requests of one prefix at one endpoint, and let go when it is loaded', async t => {
+test('should send the requests of one prefix to one endpoint, and to others when it is loaded', async t => {
   const fixture = new SchedulingFixture()
   for (const name of ['a', 'b', 'c', 'd']) fixture.announce(name, { maxConcurrentCount: 4 })
   await sendOthers(fixture)
   const chosen = await endpointsOf(fixture, 5, PROMPT)
   t.is(new Set(chosen).size, 1)
-  const [home] = chosen
+  const [homeId] = chosen
   const assignments = []
   for (let index = 0; index < 8; index++) assignments.push(fixture.assigned({ affinityText: PROMPT, priorityClass: 'bronze' }))
   const endpoints = await Promise.all(assignments.map(async assignment => (await fixture.clock.advanceUntil(assignment)).endpoint.announcement.endpointId))
-  t.is(endpoints.filter(name => name === home).length, 4)
+  t.is(endpoints.filter(name => name === homeId).length, 4)
 })
 
 test('should send a prefix to the same endpoints from every host', async t => {
@@ -68,7 +68,7 @@
   t.is(new Set(homes).size, 1)
 })
 
-test('should not choose engines with older weights, nor those that were tried', async t => {
+test('should not choose engines with older weights or engines that were already tried', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('old', { weightVersion: 1 })
   fixture.announce('new', { weightVersion: 2 })
@@ -79,7 +79,7 @@
   }
 })
 
-test('should use only idle endpoints, and only with nothing else waiting, for work that may wait', async t => {
+test('should run idle-only work only on idle endpoints, and only when nothing else is queued', async t => {
   const fixture = new SchedulingFixture()
   fixture.announce('one', { maxConcurrentCount: 8 })
   const first = await fixture.assigned({ onlyWhenIdle: true })
@@ -90,7 +90,7 @@
   t.is((await third).endpoint.announcement.endpointId, 'one')
 })
 
-test('should never give out more places than an endpoint has, however many hosts share it', async t => {
+test('should not exceed the capacity of an endpoint by more than one request per host, however many hosts share it', async t => {
   for (const hostsCount of [3, 12]) {
     const hosts = Array.from({ length: hostsCount }, (_, seed) => new SchedulingFixture({ hostsCount, seed }))
     let heldCount = 0
@@ -104,7 +104,7 @@
   }
 })
 
-test('should leave a full endpoint to hosts under their equal part', async t => {
+test('should leave a full endpoint to hosts below their equal share', async t => {
   const fixture = new SchedulingFixture({ hostsCount: 2 })
   const load = (runningCount: number, waitingCount: number) => ({ runningCount, waitingCount, kvUsedPercent: 0, tokensPerSecond: 0, ageMs: 0 })
   fixture.announce('one', { maxConcurrentCount: 16, load: load(0, 0) })
@@ -125,7 +125,7 @@
   t.deepEqual(await settledOf([fixture.assigned({ priorityClass: 'bronze' })]), [])
 })
 
-test('should let every host send at least one to an endpoint that is mostly free', async t => {
+test('should let every host send at least one request to an endpoint that is mostly free', async t => {
   for (let seed = 0; seed < 20; seed++) {
     const fixture = new SchedulingFixture({ hostsCount: 12, seed })
     fixture.announce('one', { maxConcurrentCount: 2, endpointKind: EndpointKind.Service })
--- a/tests/scheduling/dispatchOrder.test.ts
+++ b/tests/scheduling/dispatchOrder.test.ts
@@ -14,21 +14,21 @@
   return nextToDispatch({ waiting, endpointsCount: 2, nowMs, openFor: () => open, homesOf: work => new Set([homeOf(work)]) })
 }
 
-test('should let work whose home is open pass other work only so often', t => {
+test('should bound how often a request is skipped in favour of requests with a free home', t => {
   const first = workWith(1000)
-  const passing = Array.from({ length: 20 }, () => workWith(1000))
-  let passes = 0
-  while (passes < 20 && orderOf([first, passing[passes]!], work => work === first ? 'b' : 'a').ready?.work !== first) passes += 1
-  t.is(passes, 16)
+  const others = Array.from({ length: 20 }, () => workWith(1000))
+  let skips = 0
+  while (skips < 20 && orderOf([first, others[skips]!], work => work === first ? 'b' : 'a').ready?.work !== first) skips += 1
+  t.is(skips, 16)
 })
 
-test('should offer work elsewhere only when its patience is over', t => {
+test('should dispatch a request elsewhere only after its affinity wait has ended', t => {
   const work = workWith(1000)
   t.deepEqual(orderOf([work], () => 'b', 999), { fallback: undefined })
   t.is(orderOf([work], () => 'b', 1000).fallback?.work, work)
 })
 
-test('should give a prefix more homes the more of the traffic shares it, and the same ones on every host', t => {
+test('should give a prefix homes by its share of the traffic, and the same ones on every host', t => {
   const endpointIds = Array.from({ length: 10 }, (_, index) => `e${index}`)
   const homesAt = (shareOfTen: number): Set<string> => {
     const popularity = new PrefixPopularity()
@@ -41,7 +41,7 @@
   t.true([...homesAt(0)].every(name => homesAt(4).has(name)))
 })
 
-test('should look at a longer prefix when nearly all of the traffic shares a short one', t => {
+test('should use a longer prefix when nearly all of the traffic shares a short one', t => {
   const popularity = new PrefixPopularity()
   const system = 'The system prompt that every request begins with. '.repeat(6).slice(0, 256)
   for (let index = 0; index < 200; index++) popularity.record(prefixKeys(`${system}${index % 20} is what differs`), 0)
@@ -50,7 +50,7 @@
   t.true(new Set(homes).size > 3)
 })
 
-test('should fade what is no longer asked for', t => {
+test('should let the popularity of unused prefixes decay', t => {
   const popularity = new PrefixPopularity()
   const [old, recent] = ['old', 'recent'].map(text => prefixKeys(text)[0]!)
   for (let index = 0; index < 50; index++) popularity.record([old!], 0)
--- a/tests/scheduling/fairness.test.ts
+++ b/tests/scheduling/fairness.test.ts
@@ -4,12 +4,12 @@
 import { priorityClassSpecSchema } from '../../src/protocol/resources.js'
 import { SchedulingFixture } from '../fixtures/schedulingFixture.js'
 
-function terms (className: string, paidWeight: number, minSharePercent: number) {
+function classWith (className: string, paidWeight: number, minSharePercent: number) {
   return { className, spec: priorityClassSpecSchema.parse({ paidWeight, minSharePercent }) }
 }
 
-test('should share by paid weight, with every class at its guaranteed share at least', t => {
-  const shares = classShares([terms('gold', 90, 5), terms('silver', 9, 5), terms('bronze', 1, 20)])
+test('should share by paid weight, with at least the guaranteed share for every class', t => {
+  const shares = classShares([classWith('gold', 90, 5), classWith('silver', 9, 5), classWith('bronze', 1, 20)])
   t.is(shares.get('bronze'), 0.2)
   t.true(Math.abs((shares.get('gold') ?? 0) / (shares.get('silver') ?? 1) - 10) < 1e-9)
 })
@@ -17,7 +17,7 @@
 test('should keep guaranteed shares, and shares that add up to one, for any classes', t => {
   const anyClass = fc.record({ paidWeight: fc.double({ min: 0.01, max: 1000, noNaN: true }), minSharePercent: fc.double({ min: 0, max: 100, noNaN: true }) })
   fc.assert(fc.property(fc.array(anyClass, { minLength: 1, maxLength: 8 }), specs => {
-    const classes = specs.map((spec, index) => terms(`c${index}`, spec.paidWeight, spec.minSharePercent))
+    const classes = specs.map((spec, index) => classWith(`c${index}`, spec.paidWeight, spec.minSharePercent))
     const shares = classShares(classes)
     const guaranteed = specs.reduce((sum, spec) => sum + spec.minSharePercent, 0) / 100
     const total = [...shares.values()].reduce((sum, share) => sum + share, 0)
@@ -27,8 +27,8 @@
   t.pass()
 })
 
-/** What a class may save up while it has no work; see fairShare.ts. */
-const SAVED_TOKENS = 400
+/** Credit of a class that was idle: its share of IDLE_CREDIT_TOKENS in fairShare.ts. */
+const CREDITED_TOKENS = 400
 
 test('should never let a class that always has work fall behind its share by more than one round', t => {
   const step = fc.record({ goldTokens: fc.integer({ min: 1, max: 300 }), bronzeTokens: fc.integer({ min: 1, max: 300 }), goldWaits: fc.boolean() })
@@ -48,12 +48,12 @@
       if (next === 'gold') goldServed += tokensCount
       else bronzeServed += tokensCount
     }
-    return bronzeServed >= 0.1 * (goldServed + bronzeServed) - 300 - SAVED_TOKENS
+    return bronzeServed >= 0.1 * (goldServed + bronzeServed) - 300 - CREDITED_TOKENS
   }))
   t.pass()
 })
 
-test('should give a class little credit for the time in which it had no work', t => {
+test('should give a class only a small credit for the time in which it had no work', t => {
   const fairShare = new FairShare()
   fairShare.setShares(new Map([['gold', 0.5], ['bronze', 0.5]]))
   fairShare.activate('gold', [])
@@ -81,7 +81,7 @@
   }
 })
 
-test('should not hold a class back for work of another that went before its turn', t => {
+test('should not delay a class because work of another class was dispatched before its turn', t => {
   const fairShare = new FairShare()
   fairShare.setShares(new Map([['gold', 0.6], ['silver', 0.3], ['bronze', 0.1]]))
   fairShare.activate('silver', [])
@@ -91,7 +91,7 @@
   t.deepEqual(fairShare.inServiceOrder(['bronze', 'silver', 'gold']), ['gold', 'silver', 'bronze'])
 })
 
-/** Names of the classes in the order in which one endpoint of one place runs them. */
+/** The groups or classes of the requests, in the order in which an endpoint with a concurrency of one runs them. */
 async function orderOf (fixture: SchedulingFixture, priorityClasses: string[], groups: string[] = []): Promise<string[]> {
   const order: string[] = []
   const running = priorityClasses.map(async (priorityClass, index) => {
@@ -104,7 +104,7 @@
   return order
 }
 
-test('should serve the better paid class first, and the lowest one its share all the same', async t => {
+test('should serve the better-paid class first, and still give the lowest class its share', async t => {
   const fixture = new SchedulingFixture({ classes: { gold: { paidWeight: 100 }, bronze: { paidWeight: 1, minSharePercent: 20 } } })
   const order = await orderOf(fixture, [...Array<string>(40).fill('bronze'), ...Array<string>(40).fill('gold')])
   const bronzeCount = order.slice(0, 40).filter(name => name === 'bronze').length
--- a/tests/scheduling/health.test.ts
+++ b/tests/scheduling/health.test.ts
@@ -9,10 +9,10 @@
   return fixture
 }
 
-/** Lets so many tries at one endpoint fail. */
-async function failAt (fixture: SchedulingFixture, endpointId: string, times: number): Promise<void> {
+/** Lets `failuresCount` attempts on one endpoint fail. */
+async function failAt (fixture: SchedulingFixture, endpointId: string, failuresCount: number): Promise<void> {
   const excludedEndpointIds = fixture.directory.available(POOL).map(({ announcement }) => announcement.endpointId).filter(name => name !== endpointId)
-  for (let failed = 0; failed < times; failed++) (await fixture.assigned({ excludedEndpointIds })).finish({ kind: 'failed' })
+  for (let failed = 0; failed < failuresCount; failed++) (await fixture.assigned({ excludedEndpointIds })).finish({ kind: 'failed' })
 }
 
 async function chosenOf (fixture: SchedulingFixture, count: number): Promise<Set<string>> {
@@ -25,7 +25,7 @@
   return chosen
 }
 
-test('should leave out an endpoint that fails three times in a row, and try it again later', async t => {
+test('should eject an endpoint that fails three times in a row, and reinstate it later', async t => {
   const fixture = poolOf(NAMES)
   await failAt(fixture, 'a', 3)
   t.false((await chosenOf(fixture, 60)).has('a'))
@@ -34,7 +34,7 @@
   t.true((await chosenOf(fixture, 60)).has('a'))
 })
 
-test('should leave it out for longer each time', async t => {
+test('should eject an endpoint for longer each time', async t => {
   const fixture = poolOf(NAMES)
   await failAt(fixture, 'a', 3)
   await fixture.clock.advance(5001)
@@ -45,19 +45,19 @@
   t.true((await chosenOf(fixture, 60)).has('a'))
 })
 
-test('should start slowly on an endpoint that comes back', async t => {
+test('should begin a slow start on a reinstated endpoint', async t => {
   const fixture = poolOf(['a', 'b'])
   await failAt(fixture, 'a', 3)
   await fixture.clock.advance(5001)
   const held = await Promise.all(Array.from({ length: 9 }, () => fixture.assigned({ priorityClass: 'bronze' })))
-  const onIt = held.filter(({ endpoint }) => endpoint.announcement.endpointId === 'a')
-  t.is(onIt.length, 1)
-  onIt[0]?.finish({ kind: 'succeeded', tokensCount: 10, durationMs: 100 })
+  const onReinstated = held.filter(({ endpoint }) => endpoint.announcement.endpointId === 'a')
+  t.is(onReinstated.length, 1)
+  onReinstated[0]?.finish({ kind: 'succeeded', tokensCount: 10, durationMs: 100 })
   const more = await Promise.all([1, 2].map(() => fixture.assigned({ priorityClass: 'bronze' })))
   t.true(more.every(({ endpoint }) => endpoint.announcement.endpointId === 'a'))
 })
 
-test('should start slowly on an endpoint that was started anew', async t => {
+test('should begin a slow start on a restarted endpoint', async t => {
   const fixture = poolOf(['a', 'b'])
   await chosenOf(fixture, 1)
   fixture.announce('a', { incarnation: 2, maxConcurrentCount: 8 })
@@ -65,7 +65,7 @@
   t.is(held.filter(({ endpoint }) => endpoint.announcement.endpointId === 'a').length, 1)
 })
 
-test('should avoid an endpoint whose tokens take much longer, as long as the others are not loaded', async t => {
+test('should avoid an endpoint with a much longer time per token, as long as the others are not loaded', async t => {
   const fixture = poolOf(NAMES)
   for (const name of NAMES) {
     const excludedEndpointIds = NAMES.filter(other => other !== name)
@@ -77,7 +77,7 @@
   t.true(held.some(({ endpoint }) => endpoint.announcement.endpointId === 'a'))
 })
 
-test('should avoid an endpoint that reports to be slow, before any of its tries ends', async t => {
+test('should avoid an endpoint that reports a low speed, before any attempt on it ends', async t => {
   const fixture = poolOf(NAMES)
   await chosenOf(fixture, 1)
   for (const name of NAMES) {
@@ -88,7 +88,7 @@
   t.false((await chosenOf(fixture, 60)).has('a'))
 })
 
-test('should not send a slow endpoint what it could not finish in time', async t => {
+test('should not send a slow endpoint requests that it could not finish in time', async t => {
   const fixture = poolOf(NAMES, 1)
   for (const name of NAMES) {
     const excludedEndpointIds = NAMES.filter(other => other !== name)
@@ -101,7 +101,7 @@
   t.is((await fixture.assigned({ priorityClass: 'bronze' }, 600)).endpoint.announcement.endpointId, 'a')
 })
 
-test('should not take waiting at the engine for slowness', async t => {
+test('should not count queueing at the engine as slowness', async t => {
   const fixture = poolOf(NAMES)
   for (let index = 0; index < 100; index++) {
     const assignment = await fixture.assigned()
@@ -126,11 +126,11 @@
   const first = await fixture.assigned()
   first.finish({ kind: 'refused' })
   const second = fixture.assigned()
-  let given = false
-  second.then(() => { given = true }).catch(() => {})
+  let isAssigned = false
+  second.then(() => { isAssigned = true }).catch(() => {})
   await fixture.clock.advance(1000)
-  t.false(given)
+  t.false(isAssigned)
   fixture.announce('a', { maxConcurrentCount: 8 })
   await fixture.clock.advanceUntil(second)
-  t.true(given)
+  t.true(isAssigned)
 })
--- a/tests/scheduling/lifecycle.test.ts
+++ b/tests/scheduling/lifecycle.test.ts
@@ -1,6 +1,6 @@
 /**
- * Any sequence of arrivals, finishes, withdrawals, reports, lost endpoints and
- * passing time keeps the scheduler's invariants.
+ * Checks the invariants of the scheduler under random sequences of arrivals,
+ * finished and withdrawn requests, load reports, lost endpoints and delays.
  */
 import fc from 'fast-check'
 import test from 'ava'
@@ -12,7 +12,7 @@
 
 const ENDPOINTS = ['a', 'b', 'c', 'd']
 const CAPACITY = 3
-/** What a host may send of best-paid work beyond its limit; see endpointState.ts. */
+/** Requests of the best-paid class that a host may send beyond its limit; see URGENT_EXTRA_COUNT in endpointState.ts. */
 const URGENT_EXTRA = 4
 const MAX_QUEUED = 12
 const MAX_QUEUED_BYTES = 1000
@@ -45,7 +45,7 @@
   withdrawn: boolean
 }
 
-class Run {
+class SchedulerRun {
   private readonly _fixture = new SchedulingFixture({
     pool: { maxQueuedCount: MAX_QUEUED, maxQueuedBytes: MAX_QUEUED_BYTES, maxConcurrentCount: CAPACITY },
     classes: {
@@ -58,7 +58,7 @@
   private readonly _requests: Request[] = []
   private readonly _running: Assignment[] = []
 
-  async take (step: Step): Promise<void> {
+  async perform (step: Step): Promise<void> {
     if (step.kind === 'arrive') this._arrive(step)
     if (step.kind === 'finish') this._finish(step)
     if (step.kind === 'withdraw') this._withdraw(step.index)
@@ -72,11 +72,11 @@
     this._check()
   }
 
-  /** Everything that ran is finished, every deadline passes: each request has its one outcome. */
+  /** Lets every deadline pass, checks that each request has exactly one outcome, and finishes what still runs. */
   async end (): Promise<void> {
     await this._fixture.clock.advance(30_000)
     for (const request of this._requests) {
-      if (request.outcomesCount !== 1) throw new Error(`${request.outcomesCount} outcomes`)
+      if (request.outcomesCount !== 1) throw new Error(`a request has ${request.outcomesCount} outcomes`)
     }
     while (this._running.length > 0) this._running.pop()?.finish({ kind: 'cancelled' })
     await settle()
@@ -110,22 +110,22 @@
 
   private _check (): void {
     const waiting = this._requests.filter(request => request.outcomesCount === 0 && !request.scope.isClosed)
-    if (waiting.length > MAX_QUEUED) throw new Error(`${waiting.length} wait`)
+    if (waiting.length > MAX_QUEUED) throw new Error(`${waiting.length} requests are queued, ${MAX_QUEUED} at most are allowed`)
     const bytes = waiting.reduce((sum, request) => sum + request.bodyBytes, 0)
-    if (bytes > MAX_QUEUED_BYTES) throw new Error(`${bytes} bytes wait`)
+    if (bytes > MAX_QUEUED_BYTES) throw new Error(`${bytes} bytes are queued, ${MAX_QUEUED_BYTES} at most are allowed`)
     const gauges = this._fixture.metrics.snapshot()
     for (const [name, value] of Object.entries(gauges)) if (value < 0) throw new Error(`${name} is ${value}`)
     for (const endpointId of ENDPOINTS) {
       const count = this._running.filter(({ endpoint }) => endpoint.announcement.endpointId === endpointId).length
-      if (count > CAPACITY + URGENT_EXTRA) throw new Error(`${count} run on ${endpointId}`)
+      if (count > CAPACITY + URGENT_EXTRA) throw new Error(`${count} requests run on ${endpointId}`)
     }
   }
 }
 
 test('should keep its bounds and give every request exactly one outcome, whatever happens', async t => {
   await fc.assert(fc.asyncProperty(fc.array(anyStep, { minLength: 20, maxLength: 80 }), async steps => {
-    const run = new Run()
-    for (const step of steps) await run.take(step)
+    const run = new SchedulerRun()
+    for (const step of steps) await run.perform(step)
     await run.end()
   }), { numRuns: 60, seed: 7 })
   t.pass()
@@ -149,13 +149,13 @@
     const total = goldCount + silverCount
     while (served.length < total && served.filter(name => name === 'bronze').length < 60) await fixture.clock.advance(100)
     const bronzeCount = served.filter(name => name === 'bronze').length
-    const least = Math.floor(served.length * sharePercent / 100) - 6
-    if (bronzeCount < Math.min(60, least)) throw new Error(`${bronzeCount} of ${served.length}, ${least} at least`)
+    const minCount = Math.floor(served.length * sharePercent / 100) - 6
+    if (bronzeCount < Math.min(60, minCount)) throw new Error(`bronze got ${bronzeCount} of ${served.length} requests, expected at least ${minCount}`)
   }), { numRuns: 25, seed: 11 })
   t.pass()
 })
 
-test('should refuse with a reason of its own, and never with a retry before now', async t => {
+test('should refuse with a specific reason, and never with a negative retry delay', async t => {
   const fixture = new SchedulingFixture({ pool: { maxQueuedCount: 2 } })
   const outcomes = await Promise.all([...Array(8).keys()].map(() => fixture.clock.advanceUntil(fixture.assign({}, 100))))
   for (const outcome of outcomes) {
