--- a/src/entry/rollouts/enginePaces.ts
+++ b/src/entry/rollouts/enginePaces.ts
@@ -31,7 +31,7 @@
     return new SampleThroughput(this._context.clock, (tokensPerSecond, engineId) => this._shouldMove(pool, tokensPerSecond, engineId))
   }
 
-  /** Adds a measurement to the pool's average. @returns whether the sample should be moved */
+  /** Adds a measurement to the pool's average; returns whether the sample should be moved. */
   private _shouldMove (pool: string, tokensPerSecond: number, engineId: string): boolean {
     const meanTokensPerSecond = this._meanTokensPerSecond.get(pool) ?? tokensPerSecond
     this._meanTokensPerSecond.set(pool, meanTokensPerSecond + SMOOTHING * (tokensPerSecond - meanTokensPerSecond))
--- a/src/entry/rollouts/sampleReplication.ts
+++ b/src/entry/rollouts/sampleReplication.ts
@@ -14,7 +14,7 @@
 
 const HOLDERS_COUNT = 2
 const PEER_CALL_TIMEOUT_MS = 2_000
-/** Contents per call, which bounds the size of a frame. */
+/** Samples per call, which bounds the size of a frame. */
 const FETCH_BATCH_COUNT = 32
 /** Number of hosts, in order of preference, on which the checkpoint of a slot is stored or looked up. */
 const CHECKPOINT_CANDIDATES_COUNT = 3
@@ -38,7 +38,7 @@
     this._serve()
   }
 
-  /** Stores a content on this host and on a second one. @returns the hosts that hold it */
+  /** Stores the content of a sample on this host and on a second one; returns the hosts that hold it. */
   async replicate (content: SampleContent, progress: Progress): Promise<string[]> {
     this._store.put(content)
     const holders = [this._context.hostId, ...await this._copyTo(content, this._rankedHosts(slotKey(content)), progress)]
--- a/src/entry/rollouts/sampleScorer.ts
+++ b/src/entry/rollouts/sampleScorer.ts
@@ -1,6 +1,7 @@
 /**
  * Scores samples with the services of a pool. Calls are repeated until one
- * succeeds, so that a failed call doesn't discard the tokens of a sample.
+ * succeeds or the deadline passes, so that a failed call doesn't discard the tokens
+ * of a sample.
  */
 import { request } from 'undici'
 import { SCORE_PATH, scoreReplySchema, type ScoreRequest } from '../../protocol/endpoints.js'
--- a/src/entry/rollouts/sampleStore.ts
+++ b/src/entry/rollouts/sampleStore.ts
@@ -8,7 +8,7 @@
 import type { Clock } from '../../utils/clock.js'
 import type { Checkpoint, SampleContent } from './rolloutMethods.js'
 
-/** For this long, a content is retained although the ledger doesn't list it: its commit may be in flight. */
+/** Contents that the ledger doesn't list are retained for this long, since their commits may be in flight. */
 const COMMIT_GRACE_MS = 120_000
 const CHECKPOINT_LIFETIME_MS = 600_000
 const MAX_CHECKPOINTS = 4096
--- a/src/entry/rollouts/weights/poolCoordinator.ts
+++ b/src/entry/rollouts/weights/poolCoordinator.ts
@@ -9,7 +9,7 @@
  *
  * The state of an engine comes from its announcements alone, except that the
  * reply to an order counts until the next announcement. So an engine that
- * restarts with older weights, or that a stray order set back, is updated again.
+ * restarts with older weights, or that an outdated order set back, is updated again.
  */
 import { OrderKind, weightsUrl, type Order } from '../../../protocol/endpoints.js'
 import type { EndpointPoolSpec } from '../../../protocol/resources.js'
@@ -73,7 +73,7 @@
     this._signal.wake()
   }
 
-  /** Sends no further orders. @returns the time in milliseconds until the last order in flight expires */
+  /** Stops sending orders; returns the milliseconds until the last order in flight expires. */
   standDown (): number {
     this._isFenced = true
     this.wake()
@@ -124,7 +124,7 @@
     return status
   }
 
-  /** A later announcement takes precedence over the confirmation, since a stray order may have set the engine back. */
+  /** A later announcement takes precedence over the confirmation, since an outdated order may have set the engine back. */
   private _confirmedVersion (record: EndpointRecord, adapter?: string): number | undefined {
     const confirmed = this._statusOf(record).confirmed.get(adapter)
     return confirmed && confirmed.atMs >= record.loadAtMs ? confirmed.weightVersion : undefined
--- a/src/entry/scheduling/classQueue.ts
+++ b/src/entry/scheduling/classQueue.ts
@@ -9,7 +9,7 @@
 import type { AssignOutcome, WorkItem } from './scheduler.js'
 
 const MAX_GROUPS = 4096
-/** A request of a group whose first member arrived longer ago than this goes to the tail of the queue. */
+/** If the first member of a group arrived longer ago than this, the group gets a new position at the tail of the queue. */
 const GROUP_WINDOW_MS = 30_000
 
 /** One queued request. */
--- a/src/entry/scheduling/waitForecast.ts
+++ b/src/entry/scheduling/waitForecast.ts
@@ -98,7 +98,7 @@
     this._firstTokenMs.set(className, previousMs + RUN_SMOOTHING * (firstTokenMs - previousMs))
   }
 
-  /** Expected time from dispatch to the last token. */
+  /** Expected time from dispatch to the last token, by default at the average speed of the pool. */
   expectedMs ({ priorityClass, expectedTokensCount }: WorkItem, msPerToken = this.msPerToken ?? 0): number {
     return (this._firstTokenMs.get(priorityClass) ?? 0) + msPerToken * expectedTokensCount
   }
--- a/tests/rollouts/weightDistribution.test.ts
+++ b/tests/rollouts/weightDistribution.test.ts
@@ -139,7 +139,7 @@
   assertClean(t, setup)
 })
 
-test('should update an engine that ignores fencing and was set back by a stray order', async t => {
+test('should update an engine that ignores fencing and was set back by an outdated order', async t => {
   const setup = await setUp({ checksFencing: false })
   const { world, trainer } = setup
   await world.clock.advanceUntil(trainer.publish(2))
