--- a/src/batches/assignmentRound.ts
+++ b/src/batches/assignmentRound.ts
@@ -10,10 +10,10 @@
 import type { Engine } from './engineFleet.js'
 import { ASSUMED_TOKEN_MS, eventCostMs, loadOf, shouldWaitForFaster, type EngineLoad } from './itemOrder.js'
 import type { ItemRun } from './itemRun.js'
-import { patientUntilMs } from './slotSharing.js'
+import { deferrableUntilMs } from './slotSharing.js'
 
 /** Where the items of a run's batch may go. */
-export interface RunPlace {
+export interface Placement {
   service: string
   modelEngine: ModelEngine | undefined
 }
@@ -21,41 +21,41 @@
 /** An engine with weights that fit, at the moment of the round. */
 interface Candidate extends EngineLoad {
   /** Runs up to which another one may begin. */
-  mostRunsCount: number
+  maxRunsCount: number
 }
 
-export interface AssignmentRoundParts {
+export interface AssignmentRoundOptions {
   nowMs: number
-  placeOf: (run: ItemRun) => RunPlace | undefined
+  placementOf: (run: ItemRun) => Placement | undefined
   enginesOf: (service: string) => Engine[]
   /** Slots of an engine up to which items begin that can wait. */
-  patientSlotsOf: (service: string, engines: Engine[]) => number
+  deferrableSlotsOf: (service: string, engines: Engine[]) => number
 }
 
 /** What is the same for all items of a batch. */
-interface BatchChoice {
-  place: RunPlace
+interface CandidateSet {
+  placement: Placement
   candidates: Candidate[]
   /** No engine has room for an item; slots are only taken during a round, so this stays. */
   isFull: boolean
   /** The same for items that can wait. */
-  isFullForPatient: boolean
+  isFullForDeferrable: boolean
   /** The best candidates by the runs up to which an engine counts, as long as no slot was taken since. */
   cheapest: Map<number | undefined, Candidate | undefined>
   /** Slots that this round had given when they were compared. */
-  comparedAtCount: number
+  assignedCountAtComparison: number
 }
 
 export class AssignmentRound {
-  private readonly _parts: AssignmentRoundParts
+  private readonly _options: AssignmentRoundOptions
   /** By batch and service. */
-  private readonly _choices = new Map<Batch, Map<string, BatchChoice>>()
-  private readonly _patientSlots = new Map<string, number>()
+  private readonly _candidateSets = new Map<Batch, Map<string, CandidateSet>>()
+  private readonly _deferrableSlots = new Map<string, number>()
   /** Slots that were given; the engines compare as they did until the next one is. */
-  private _givenCount = 0
+  private _assignedCount = 0
 
-  constructor (parts: AssignmentRoundParts) {
-    this._parts = parts
+  constructor (options: AssignmentRoundOptions) {
+    this._options = options
   }
 
   /**
@@ -64,102 +64,102 @@
    */
   engineFor (run: ItemRun, waitedMs: number): Engine | undefined {
     const engine = this._choose(run, waitedMs)
-    if (engine) this._givenCount++
+    if (engine) this._assignedCount++
     return engine
   }
 
   private _choose (run: ItemRun, waitedMs: number): Engine | undefined {
-    const choice = run.isChoosy ? this._ownChoiceFor(run) : this._choiceFor(run)
-    if (!choice || choice.isFull) return undefined
-    const isPatient = this._isPatient(run, choice.place)
-    if (isPatient && choice.isFullForPatient) return undefined
-    const free = this._cheapest(choice, isPatient ? this._patientSlotsOf(choice) : Number.POSITIVE_INFINITY)
+    const candidateSet = run.isRestricted ? this._restrictedCandidatesFor(run) : this._candidatesFor(run)
+    if (!candidateSet || candidateSet.isFull) return undefined
+    const isDeferrable = this._isDeferrable(run, candidateSet.placement)
+    if (isDeferrable && candidateSet.isFullForDeferrable) return undefined
+    const free = this._cheapest(candidateSet, isDeferrable ? this._deferrableSlotsOf(candidateSet) : Number.POSITIVE_INFINITY)
     if (!free) {
-      choice.isFullForPatient = true
-      choice.isFull ||= !isPatient
+      candidateSet.isFullForDeferrable = true
+      candidateSet.isFull ||= !isDeferrable
       return undefined
     }
-    const best = this._cheapest(choice, undefined) ?? free
+    const best = this._cheapest(candidateSet, undefined) ?? free
     if (best === free) return free.engine
-    const remainingEventsCount = run.remainingTokensCount / tokensPerEvent(choice.place)
+    const remainingEventsCount = run.remainingTokensCount / tokensPerEvent(candidateSet.placement)
     return shouldWaitForFaster({ freeGapMs: free.gapMs, fullGapMs: best.gapMs, remainingEventsCount, waitedMs }) ? undefined : free.engine
   }
 
   /** For an item that may not go wherever the rest of its batch may. */
-  private _ownChoiceFor (run: ItemRun): BatchChoice | undefined {
-    const shared = this._choiceFor(run)
+  private _restrictedCandidatesFor (run: ItemRun): CandidateSet | undefined {
+    const shared = this._candidatesFor(run)
     if (!shared) return undefined
-    const allowed = shared.candidates.filter(({ engine }) => run.mayBegin(engine))
+    const allowed = shared.candidates.filter(({ engine }) => run.mayRunOn(engine))
     const untried = allowed.filter(({ engine }) => !run.avoids(engine))
-    return choiceAmong(shared.place, untried.length > 0 ? untried : allowed, this._givenCount)
+    return candidateSetOf(shared.placement, untried.length > 0 ? untried : allowed, this._assignedCount)
   }
 
-  private _choiceFor (run: ItemRun): BatchChoice | undefined {
+  private _candidatesFor (run: ItemRun): CandidateSet | undefined {
     const { batch, item } = run
-    const place = this._parts.placeOf(run)
-    if (!place) return undefined
-    const choices = this._choices.get(batch) ?? new Map<string, BatchChoice>()
-    this._choices.set(batch, choices)
-    const known = choices.get(place.service)
-    if (known) return known
+    const placement = this._options.placementOf(run)
+    if (!placement) return undefined
+    const candidateSets = this._candidateSets.get(batch) ?? new Map<string, CandidateSet>()
+    this._candidateSets.set(batch, candidateSets)
+    const existing = candidateSets.get(placement.service)
+    if (existing) return existing
     const { minVersion } = batch.submission
-    const candidates = this._parts.enginesOf(place.service).filter(engine => engine.mayBegin(item.model) && engine.version(item.model) >= minVersion)
-    const choice = choiceAmong(place, candidates.map(engine => candidateOf(engine, place)), this._givenCount)
-    choices.set(place.service, choice)
-    return choice
+    const candidates = this._options.enginesOf(placement.service).filter(engine => engine.mayBegin(item.model) && engine.version(item.model) >= minVersion)
+    const candidateSet = candidateSetOf(placement, candidates.map(engine => candidateOf(engine, placement)), this._assignedCount)
+    candidateSets.set(placement.service, candidateSet)
+    return candidateSet
   }
 
   /** Compares the engines only after a slot was taken: hundreds of items may wait for a faster engine than the one that is free. */
-  private _cheapest (choice: BatchChoice, mostRunsCount: number | undefined): Candidate | undefined {
-    if (choice.comparedAtCount !== this._givenCount) {
-      choice.cheapest.clear()
-      choice.comparedAtCount = this._givenCount
+  private _cheapest (candidateSet: CandidateSet, maxRunsCount: number | undefined): Candidate | undefined {
+    if (candidateSet.assignedCountAtComparison !== this._assignedCount) {
+      candidateSet.cheapest.clear()
+      candidateSet.assignedCountAtComparison = this._assignedCount
     }
-    if (!choice.cheapest.has(mostRunsCount)) choice.cheapest.set(mostRunsCount, cheapest(choice.candidates, mostRunsCount))
-    return choice.cheapest.get(mostRunsCount)
+    if (!candidateSet.cheapest.has(maxRunsCount)) candidateSet.cheapest.set(maxRunsCount, cheapest(candidateSet.candidates, maxRunsCount))
+    return candidateSet.cheapest.get(maxRunsCount)
   }
 
-  private _isPatient (run: ItemRun, place: RunPlace): boolean {
+  private _isDeferrable (run: ItemRun, placement: Placement): boolean {
     const item = {
       longestEndsAtMs: Math.min(run.times.longestEndsAtMs, run.dueAtMs),
-      remainingEventsCount: run.remainingTokensCount / tokensPerEvent(place)
+      remainingEventsCount: run.remainingTokensCount / tokensPerEvent(placement)
     }
-    return this._parts.nowMs < patientUntilMs(item, ASSUMED_TOKEN_MS * tokensPerEvent(place))
+    return this._options.nowMs < deferrableUntilMs(item, ASSUMED_TOKEN_MS * tokensPerEvent(placement))
   }
 
-  private _patientSlotsOf ({ place, candidates }: BatchChoice): number {
-    let slotsCount = this._patientSlots.get(place.service)
+  private _deferrableSlotsOf ({ placement, candidates }: CandidateSet): number {
+    let slotsCount = this._deferrableSlots.get(placement.service)
     if (slotsCount === undefined) {
-      slotsCount = this._parts.patientSlotsOf(place.service, candidates.map(({ engine }) => engine))
-      this._patientSlots.set(place.service, slotsCount)
+      slotsCount = this._options.deferrableSlotsOf(placement.service, candidates.map(({ engine }) => engine))
+      this._deferrableSlots.set(placement.service, slotsCount)
     }
     return slotsCount
   }
 }
 
-export function tokensPerEvent ({ modelEngine }: RunPlace): number {
+export function tokensPerEvent ({ modelEngine }: Placement): number {
   return modelEngine?.tokensPerEvent ?? 1
 }
 
-function choiceAmong (place: RunPlace, candidates: Candidate[], comparedAtCount: number): BatchChoice {
-  return { place, candidates, isFull: false, isFullForPatient: false, cheapest: new Map(), comparedAtCount }
+function candidateSetOf (placement: Placement, candidates: Candidate[], assignedCountAtComparison: number): CandidateSet {
+  return { placement, candidates, isFull: false, isFullForDeferrable: false, cheapest: new Map(), assignedCountAtComparison }
 }
 
-function candidateOf (engine: Engine, place: RunPlace): Candidate {
-  const load = loadOf(engine, ASSUMED_TOKEN_MS * tokensPerEvent(place), place.modelEngine?.kvCapacityTokens ?? Number.POSITIVE_INFINITY)
+function candidateOf (engine: Engine, placement: Placement): Candidate {
+  const load = loadOf(engine, ASSUMED_TOKEN_MS * tokensPerEvent(placement), placement.modelEngine?.kvCapacityTokens ?? Number.POSITIVE_INFINITY)
   // One run alone where it has yet to show that slowness has passed.
-  return { ...load, mostRunsCount: load.isInDoubt ? 1 : engine.endpoint.slotsCount }
+  return { ...load, maxRunsCount: load.isUncertain ? 1 : engine.endpoint.slotsCount }
 }
 
-/** @param mostRunsCount runs up to which an engine counts; undefined counts full ones too */
-function cheapest (candidates: readonly Candidate[], mostRunsCount: number | undefined): Candidate | undefined {
+/** @param maxRunsCount runs up to which an engine counts; undefined counts full ones too */
+function cheapest (candidates: readonly Candidate[], maxRunsCount: number | undefined): Candidate | undefined {
   let best: Candidate | undefined
   let lowestCostMs = Number.POSITIVE_INFINITY
   for (const candidate of candidates) {
     const { engine } = candidate
-    if (mostRunsCount !== undefined && engine.runningCount >= Math.min(mostRunsCount, candidate.mostRunsCount)) continue
+    if (maxRunsCount !== undefined && engine.runningCount >= Math.min(maxRunsCount, candidate.maxRunsCount)) continue
     // One that is on trial takes a run at a time, and may have got it in this round.
-    if (candidate.isInDoubt && !engine.health.isOpen) continue
+    if (candidate.isUncertain && !engine.health.isOpen) continue
     const costMs = eventCostMs(candidate)
     if (costMs >= lowestCostMs) continue
     best = candidate
--- a/src/batches/batch.ts
+++ b/src/batches/batch.ts
@@ -61,7 +61,7 @@
 
   static accepted ({ items, ...head }: BatchSubmission, acceptedAtMs: number, keepMs: number): Batch {
     const submission = { ...head, itemsCount: items.length }
-    return new Batch({ submission, acceptedAtMs, keepMs, isEnded: false, openItems: items.map(withOwnBytes), results: [], rewardIds: [], completedTokensCount: 0 })
+    return new Batch({ submission, acceptedAtMs, keepMs, isEnded: false, openItems: items.map(withCopiedBodies), results: [], rewardIds: [], completedTokensCount: 0 })
   }
 
   get batchId (): string {
@@ -69,7 +69,7 @@
   }
 
   /** Whether a client account may ask for it; one of no account is anybody's. */
-  isOf (account: string | undefined): boolean {
+  isAccessibleBy (account: string | undefined): boolean {
     return this.submission.account === undefined || this.submission.account === account
   }
 
@@ -171,7 +171,7 @@
  * keep all bodies of its batch until the last item is listed (25 MB instead of
  * 1 MB for a hundred batches of 190 items with one open each, one run).
  */
-function withOwnBytes ({ reward, ...item }: BatchItem): BatchItem {
-  const own = { ...item, body: Uint8Array.from(item.body) }
-  return reward ? { ...own, reward: { ...reward, body: Uint8Array.from(reward.body) } } : own
+function withCopiedBodies ({ reward, ...item }: BatchItem): BatchItem {
+  const copy = { ...item, body: Uint8Array.from(item.body) }
+  return reward ? { ...copy, reward: { ...reward, body: Uint8Array.from(reward.body) } } : copy
 }
--- a/src/batches/batchClient.ts
+++ b/src/batches/batchClient.ts
@@ -20,13 +20,13 @@
 /** Pause before the leader is looked for again. */
 const RETRY_PAUSE_MS = 50
 /** A leader that has not answered within this time may be cut off: look whether there is another. */
-const TRY_TIMEOUT_MS = 700
+const ATTEMPT_TIMEOUT_MS = 700
 /** A read takes two short hops and no disk; a replica that needs longer is down, cut off or behind. */
 const READ_TIMEOUT_MS = 300
 /** A read that waits for results is held at a replica no longer than this at once. */
-const MAX_HELD_MS = 300
+const MAX_POLL_MS = 300
 /** A replica that did not answer a read is left out this long: as long as control hosts need to notice that it is silent. */
-const SUSPICION_MS = 2_000
+const SUSPECT_DURATION_MS = 2_000
 
 /** A batch as it is asked for. */
 export interface AskedBatch {
@@ -46,7 +46,7 @@
   reason: string
 }
 
-type Asked<Reply> =
+type LeaderOutcome<Reply> =
   | { kind: 'answered', reply: Exclude<Reply, NotLeader> }
   /** Nothing came of any call. */
   | { kind: 'refused', reason: string, isFinal?: boolean }
@@ -57,7 +57,7 @@
   private readonly _view: FleetView
   private readonly _dataCentre: string
   private readonly _links: PeerLinks
-  private _hint: string | undefined
+  private _leaderHint: string | undefined
   private _nextReplica = 0
   private _nextReader = 0
   /** Replicas close by that did not answer a read. */
@@ -71,14 +71,14 @@
 
   /** Submitting twice takes a batch once, so a lost call is repeated. */
   async submit (submission: BatchSubmission, progress: Progress): Promise<SubmitBatchReply> {
-    const asked = await this._ask<{ submission: BatchSubmission }, SubmitBatchReply>(submitBatchMethod, { submission }, progress, TRY_TIMEOUT_MS)
-    switch (asked.kind) {
+    const outcome = await this._callLeader<{ submission: BatchSubmission }, SubmitBatchReply>(submitBatchMethod, { submission }, progress, ATTEMPT_TIMEOUT_MS)
+    switch (outcome.kind) {
       case 'answered':
-        return asked.reply
+        return outcome.reply
       case 'refused':
-        return { kind: 'refused', reason: asked.reason }
+        return { kind: 'refused', reason: outcome.reason }
       case 'lost':
-        return { kind: 'unknown', reason: asked.reason }
+        return { kind: 'unknown', reason: outcome.reason }
     }
   }
 
@@ -87,9 +87,9 @@
     const { clock } = progress
     const waitUntilMs = clock.nowMs() + waitMs
     for (;;) {
-      const pieceMs = Math.min(MAX_HELD_MS, Math.max(0, waitUntilMs - clock.nowMs()))
-      const request = { batchId, account, fromPosition, waitMs: pieceMs }
-      const reply = await this._read<AskedBatch & { fromPosition: number, waitMs: number }, ReadResultsReply>(readResultsMethod, request, progress, pieceMs + READ_TIMEOUT_MS)
+      const pollMs = Math.min(MAX_POLL_MS, Math.max(0, waitUntilMs - clock.nowMs()))
+      const request = { batchId, account, fromPosition, waitMs: pollMs }
+      const reply = await this._read<AskedBatch & { fromPosition: number, waitMs: number }, ReadResultsReply>(readResultsMethod, request, progress, pollMs + READ_TIMEOUT_MS)
       const mayWait = reply.kind === 'results' && reply.results.length === 0 && !reply.isEnded
       if (!mayWait || clock.nowMs() >= waitUntilMs) return reply
     }
@@ -99,31 +99,31 @@
     return await this._read<AskedBatch & { itemId: string }, ReadItemReply>(readItemMethod, { batchId, account, itemId }, progress, READ_TIMEOUT_MS)
   }
 
-  async end (asked: AskedBatch, progress: Progress): Promise<Exclude<EndBatchReply, NotLeader>> {
-    const outcome = await this._ask<AskedBatch, EndBatchReply>(endBatchMethod, asked, progress, TRY_TIMEOUT_MS)
+  async end (reference: AskedBatch, progress: Progress): Promise<Exclude<EndBatchReply, NotLeader>> {
+    const outcome = await this._callLeader<AskedBatch, EndBatchReply>(endBatchMethod, reference, progress, ATTEMPT_TIMEOUT_MS)
     return outcome.kind === 'answered' ? outcome.reply : unavailableFor(outcome)
   }
 
   private async _read<Request, Reply extends { kind: string }> (
-    method: RpcMethod<Request, Reply>, body: Request, progress: Progress, tryTimeoutMs: number
+    method: RpcMethod<Request, Reply>, body: Request, progress: Progress, attemptTimeoutMs: number
   ): Promise<Exclude<Reply, NotLeader> | Unavailable> {
-    const nearby = await this._askNearby<Request, Reply>(method, body, progress, tryTimeoutMs)
+    const nearby = await this._callNearby<Request, Reply>(method, body, progress, attemptTimeoutMs)
     if (nearby) return nearby
-    const asked = await this._ask<Request, Reply>(method, body, progress, tryTimeoutMs)
-    if (asked.kind === 'answered') return asked.reply
-    return unavailableFor(asked)
+    const outcome = await this._callLeader<Request, Reply>(method, body, progress, attemptTimeoutMs)
+    if (outcome.kind === 'answered') return outcome.reply
+    return unavailableFor(outcome)
   }
 
   /** What a replica close by answers; undefined when it cannot, and the leader has to be asked. */
-  private async _askNearby<Request, Reply extends { kind: string }> (
-    method: RpcMethod<Request, Reply>, body: Request, progress: Progress, tryTimeoutMs: number
+  private async _callNearby<Request, Reply extends { kind: string }> (
+    method: RpcMethod<Request, Reply>, body: Request, progress: Progress, attemptTimeoutMs: number
   ): Promise<Exclude<Reply, NotLeader> | undefined> {
     const { clock } = progress
     const address = this._readerAddress(clock.nowMs())
     if (address === undefined) return undefined
-    const outcome = await this._links.to({ peerAddress: address }).call(method, body, progress.before(clock.nowMs() + tryTimeoutMs))
+    const outcome = await this._links.to({ peerAddress: address }).call(method, body, progress.before(clock.nowMs() + attemptTimeoutMs))
     if (outcome.kind !== 'replied') {
-      this._suspectUntilMs.set(address, clock.nowMs() + SUSPICION_MS)
+      this._suspectUntilMs.set(address, clock.nowMs() + SUSPECT_DURATION_MS)
       return undefined
     }
     if (isNotLeader(outcome.body) || outcome.body.kind === 'unavailable') return undefined
@@ -131,31 +131,31 @@
   }
 
   /** Asks the leader, and again wherever it may be, until a reply is final. */
-  private async _ask<Request, Reply extends { kind: string }> (
-    method: RpcMethod<Request, Reply>, body: Request, progress: Progress, tryTimeoutMs: number
-  ): Promise<Asked<Reply>> {
-    let last: Asked<Reply> = { kind: 'refused', reason: 'no leader of the batch store is known' }
+  private async _callLeader<Request, Reply extends { kind: string }> (
+    method: RpcMethod<Request, Reply>, body: Request, progress: Progress, attemptTimeoutMs: number
+  ): Promise<LeaderOutcome<Reply>> {
+    let last: LeaderOutcome<Reply> = { kind: 'refused', reason: 'no leader of the batch store is known' }
     while (!progress.isOver()) {
       const address = this._leaderAddress()
-      const outcome = address === undefined
+      const callOutcome = address === undefined
         ? undefined
-        : await this._askAt(address, method, body, progress.before(progress.clock.nowMs() + tryTimeoutMs))
-      const asked = outcome && meaningOf(outcome)
-      if (asked?.kind === 'answered') return asked
+        : await this._callAddress(address, method, body, progress.before(progress.clock.nowMs() + attemptTimeoutMs))
+      const outcome = callOutcome && interpretOutcome(callOutcome)
+      if (outcome?.kind === 'answered') return outcome
       // Once a call was lost, no later refusal can promise that nothing runs.
-      if (asked && last.kind !== 'lost') last = asked
-      if (asked?.kind === 'refused' && asked.isFinal === true) return last
+      if (outcome && last.kind !== 'lost') last = outcome
+      if (outcome?.kind === 'refused' && outcome.isFinal === true) return last
       await sleepUntil(progress.clock, progress.scope, Math.min(progress.deadlineMs, progress.clock.nowMs() + RETRY_PAUSE_MS))
     }
     return last
   }
 
-  private async _askAt<Request, Reply extends { kind: string }> (
+  private async _callAddress<Request, Reply extends { kind: string }> (
     address: string, method: RpcMethod<Request, Reply>, body: Request, progress: Progress
   ): Promise<CallOutcome<Reply>> {
     const outcome = await this._links.to({ peerAddress: address }).call(method, body, progress)
     const isLed = outcome.kind === 'replied' && !isNotLeader(outcome.body)
-    this._hint = outcome.kind === 'replied' && isNotLeader(outcome.body) ? outcome.body.leaderAddress : isLed ? address : undefined
+    this._leaderHint = outcome.kind === 'replied' && isNotLeader(outcome.body) ? outcome.body.leaderAddress : isLed ? address : undefined
     return outcome
   }
 
@@ -169,19 +169,19 @@
       const isMember = memberIds ? memberIds.includes(store?.replicaId ?? '') : store?.clusterId !== null
       return store && isMember ? [{ dataCentre, address: store.peerAddress }] : []
     })
-    const sound = members.filter(({ address }) => nowMs >= (this._suspectUntilMs.get(address) ?? Number.NEGATIVE_INFINITY))
-    const nearby = sound.filter(({ dataCentre }) => dataCentre === this._dataCentre)
-    const readers = nearby.length > 0 ? nearby : sound
+    const available = members.filter(({ address }) => nowMs >= (this._suspectUntilMs.get(address) ?? Number.NEGATIVE_INFINITY))
+    const nearby = available.filter(({ dataCentre }) => dataCentre === this._dataCentre)
+    const readers = nearby.length > 0 ? nearby : available
     return readers[this._nextReader++ % Math.max(1, readers.length)]?.address
   }
 
   /** A replica that answered last, the leader that control hosts know, or any replica in turn. */
   private _leaderAddress (): string | undefined {
-    if (this._hint !== undefined) return this._hint
-    const told = this._view.storeLeader()?.store?.peerAddress
+    if (this._leaderHint !== undefined) return this._leaderHint
+    const knownLeader = this._view.storeLeader()?.store?.peerAddress
     const replicas = this._view.hosts(HostRole.Store).flatMap(({ store }) => store?.peerAddress ?? [])
-    const inTurn = replicas[this._nextReplica++ % Math.max(1, replicas.length)]
-    return this._nextReplica % 2 === 1 ? told ?? inTurn : inTurn
+    const nextReplica = replicas[this._nextReplica++ % Math.max(1, replicas.length)]
+    return this._nextReplica % 2 === 1 ? knownLeader ?? nextReplica : nextReplica
   }
 }
 
@@ -190,7 +190,7 @@
 }
 
 /** Undefined for what says nothing of the call: the host does not lead, or was not reached. */
-function meaningOf<Reply extends { kind: string }> (outcome: CallOutcome<Reply>): Asked<Reply> | undefined {
+function interpretOutcome<Reply extends { kind: string }> (outcome: CallOutcome<Reply>): LeaderOutcome<Reply> | undefined {
   if (outcome.kind === 'lost') return outcome
   if (outcome.kind === 'unserved' || isNotLeader(outcome.body)) return undefined
   const reply = outcome.body as Exclude<Reply, NotLeader>
--- a/src/batches/batchDispatcher.ts
+++ b/src/batches/batchDispatcher.ts
@@ -25,21 +25,21 @@
 import { itemKeyOf, type BatchState } from './batchState.js'
 import { EngineFleet } from './engineFleet.js'
 import type { BatchAges, BatchTimes } from './batchTimes.js'
-import { ItemRun, type ItemRunParts } from './itemRun.js'
+import { ItemRun, type ItemRunOptions } from './itemRun.js'
 import { ItemOutput } from './itemOutput.js'
 import { ModelDemand } from './modelDemand.js'
-import { RunPlaces } from './runPlaces.js'
+import { PlacementSelector } from './runPlaces.js'
 import { SlotAssignment } from './slotAssignment.js'
 import { StepReports, type ReportedStep } from './stepReports.js'
 
 /** Output of items whose batch ended early, kept for their return in a later one. */
-const MAX_KEPT_OUTPUTS_COUNT = 2_000
+const MAX_CARRIED_OVER_OUTPUTS_COUNT = 2_000
 /** One line about being held up says enough for so long. */
-const HELD_UP_REPEAT_MS = 1_000
+const OVERLOAD_LOG_INTERVAL_MS = 1_000
 /** Steps of a model that are open at a time: the earlier one keeps its long samples. */
 const STEPS_OPEN_COUNT = 2
 
-export interface BatchDispatcherParts {
+export interface BatchDispatcherOptions {
   clock: Clock
   random: RandomSource
   logger: Logger
@@ -63,24 +63,24 @@
 export class BatchDispatcher {
   readonly engines: EngineFleet
   readonly demand: ModelDemand
-  private readonly _parts: BatchDispatcherParts
+  private readonly _options: BatchDispatcherOptions
   private readonly _routes = new CurrentRoutes()
   private readonly _tracked = new Map<string, TrackedBatch>()
-  private readonly _keptOutputs = new Map<string, ItemOutput>()
+  private readonly _carriedOverOutputs = new Map<string, ItemOutput>()
   private readonly _seenItemKeys = new Set<string>()
   private readonly _runs = new Set<ItemRun>()
-  private readonly _places: RunPlaces
+  private readonly _placements: PlacementSelector
   private readonly _slots: SlotAssignment
   private readonly _reports: StepReports<ItemRun>
-  private _heldUpToldAtMs = Number.NEGATIVE_INFINITY
+  private _overloadLoggedAtMs = Number.NEGATIVE_INFINITY
 
-  constructor (parts: BatchDispatcherParts) {
-    this._parts = parts
-    this.engines = new EngineFleet(parts.pool, parts.clock)
-    this.demand = new ModelDemand(parts.clock)
-    const { clock, random, view, logger, metrics } = parts
-    this._places = new RunPlaces({ view, engines: this.engines, random, routeOf: (host, path) => this.routeOf(host, path) })
-    this._slots = new SlotAssignment({ clock, view, engines: this.engines, demand: this.demand, runs: this._runs, placeOf: run => this._places.of(run), onTurn: (latenessMs, waitingCount) => this._noteTurn(latenessMs, waitingCount) })
+  constructor (options: BatchDispatcherOptions) {
+    this._options = options
+    this.engines = new EngineFleet(options.pool, options.clock)
+    this.demand = new ModelDemand(options.clock)
+    const { clock, random, view, logger, metrics } = options
+    this._placements = new PlacementSelector({ view, engines: this.engines, random, routeOf: (host, path) => this.routeOf(host, path) })
+    this._slots = new SlotAssignment({ clock, view, engines: this.engines, demand: this.demand, runs: this._runs, placementOf: run => this._placements.placementOf(run), onTurn: (latenessMs, waitingCount) => this._recordTurn(latenessMs, waitingCount) })
     this._reports = new StepReports({ clock, logger, metrics, steps: () => [...this._tracked.values()], items: () => this._runs, waitReasonOf: run => this._slots.waitReasonOf(run) })
   }
 
@@ -116,25 +116,25 @@
 
   /** Follows the list of batches until the scope closes. */
   async run (scope: Scope): Promise<void> {
-    const { clock, replica, view } = this._parts
-    this._parts.logger.event(BatchEvent.DispatchBegun, { term: replica.core.term, openBatchesCount: this._parts.state.open().length })
+    const { clock, replica, view } = this._options
+    this._options.logger.event(BatchEvent.DispatchStarted, { term: replica.core.term, openBatchesCount: this._options.state.open().length })
     scope.onClose(view.onChange(() => {
-      this._track()
-      this._slots.moveFromLeaving()
+      this._syncTracked()
+      this._slots.moveFromLeavingEngines()
       this._slots.assign()
     }))
-    scope.onClose(() => this._parts.logger.event(BatchEvent.DispatchEnded, { reason: scope.closeReason ?? '' }))
-    this._parts.supervisor.spawn('slots', slotsScope => this._slots.run(slotsScope))
-    this._parts.supervisor.spawn('step reports', reportsScope => this._reports.run(reportsScope))
+    scope.onClose(() => this._options.logger.event(BatchEvent.DispatchEnded, { reason: scope.closeReason ?? '' }))
+    this._options.supervisor.spawn('slots', slotsScope => this._slots.run(slotsScope))
+    this._options.supervisor.spawn('step reports', reportsScope => this._reports.run(reportsScope))
     for (;;) {
-      this._track()
+      this._syncTracked()
       await replica.applied.wait(scope, { clock, deadlineMs: clock.nowMs() + 1_000 })
     }
   }
 
   /** Puts all output that only this host holds into the replicated state, for whoever leads next. */
   async keepOutputs (progress: Progress): Promise<void> {
-    await progress.race(Promise.all([...this._runs].map(run => run.keepOutput(progress))))
+    await progress.race(Promise.all([...this._runs].map(run => run.replicateOutput(progress))))
   }
 
   /** An engine has changed: somebody may get a slot. */
@@ -143,24 +143,24 @@
   }
 
   routeOf (host: string, path: string): RoutingRoute | undefined {
-    const { routing } = this._parts.view
+    const { routing } = this._options.view
     return routing && this._routes.of(routing).find(host, path)
   }
 
-  private _noteTurn (latenessMs: number, waitingCount: number): void {
-    const { clock, logger, metrics } = this._parts
+  private _recordTurn (latenessMs: number, waitingCount: number): void {
+    const { clock, logger, metrics } = this._options
     metrics.timing(MetricName.TurnLateMs, latenessMs)
-    if (!this._slots.isHeldUp || clock.nowMs() < this._heldUpToldAtMs + HELD_UP_REPEAT_MS) return
-    this._heldUpToldAtMs = clock.nowMs()
-    logger.event(BatchEvent.HeldUp, { latenessMs: Math.round(latenessMs), waitingCount, itemsCount: this._runs.size })
+    if (!this._slots.isOverloaded || clock.nowMs() < this._overloadLoggedAtMs + OVERLOAD_LOG_INTERVAL_MS) return
+    this._overloadLoggedAtMs = clock.nowMs()
+    logger.event(BatchEvent.Overloaded, { latenessMs: Math.round(latenessMs), waitingCount, itemsCount: this._runs.size })
   }
 
-  private _track (): void {
-    const { state, view } = this._parts
+  private _syncTracked (): void {
+    const { state, view } = this._options
     for (const [batchId, tracked] of this._tracked) {
       const { batch, supervisor } = tracked
       if (!batch.isEnded && state.get(batchId) === batch) continue
-      this._reportEnd(tracked)
+      this._logEnd(tracked)
       supervisor.scope.close('the batch has ended')
       this._tracked.delete(batchId)
     }
@@ -169,35 +169,35 @@
     const added = state.open().filter(batch => !this._tracked.has(batch.batchId))
     if (added.length === 0) return
     // What has made most and what is longest is to begin first, of whatever batch.
-    this._slots.holdWhile(() => {
-      for (const batch of added) this._begin(batch)
+    this._slots.assignAfter(() => {
+      for (const batch of added) this._startBatch(batch)
     })
   }
 
-  private _reportEnd ({ batch, begunAtMs, dueAtMs }: TrackedBatch): void {
-    const { clock, logger } = this._parts
+  private _logEnd ({ batch, startedAtMs, dueAtMs }: TrackedBatch): void {
+    const { clock, logger } = this._options
     const { submission, results, batchId } = batch
     const nowMs = clock.nowMs()
     const givenUpCount = results.filter(({ state }) => state === ResultState.GivenUp).length
     logger.event(BatchEvent.StepEnded, {
-      batchId, model: submission.model, step: submission.step, openForMs: Math.round(nowMs - begunAtMs), dueInMs: Math.round(dueAtMs - nowMs), itemsCount: submission.itemsCount, listedCount: results.length, givenUpCount
+      batchId, model: submission.model, step: submission.step, openForMs: Math.round(nowMs - startedAtMs), dueInMs: Math.round(dueAtMs - nowMs), itemsCount: submission.itemsCount, listedCount: results.length, givenUpCount
     })
   }
 
-  private _begin (batch: Batch): void {
-    const { clock, supervisor: parent } = this._parts
+  private _startBatch (batch: Batch): void {
+    const { clock, supervisor: parent } = this._options
     const supervisor = parent.child(`batch ${batch.batchId}`)
-    this.demand.asked(batch.submission, this._parts.view.namedVersion(batch.submission.model))
-    const promise = this.routeOf(batch.submission.host, batch.submission.path)?.batch
+    this.demand.asked(batch.submission, this._options.view.namedVersion(batch.submission.model))
+    const batchPromise = this.routeOf(batch.submission.host, batch.submission.path)?.batch
     const nowMs = clock.nowMs()
-    const times = this._parts.ages.timesOf(batch, promise)
-    this._tracked.set(batch.batchId, { batch, supervisor, begunAtMs: nowMs, dueAtMs: times.dueAtMs })
-    for (const item of batch.openItems()) this._beginItem(batch, item, times, supervisor)
+    const times = this._options.ages.timesOf(batch, batchPromise)
+    this._tracked.set(batch.batchId, { batch, supervisor, startedAtMs: nowMs, dueAtMs: times.dueAtMs })
+    for (const item of batch.openItems()) this._startItem(batch, item, times, supervisor)
   }
 
-  private _beginItem (batch: Batch, item: BatchItem, times: BatchTimes, supervisor: Supervisor): void {
-    const { clock, logger, metrics, client, forwarder, quarantine, replica } = this._parts
-    const parts: ItemRunParts = {
+  private _startItem (batch: Batch, item: BatchItem, times: BatchTimes, supervisor: Supervisor): void {
+    const { clock, logger, metrics, client, forwarder, quarantine, replica } = this._options
+    const options: ItemRunOptions = {
       clock,
       logger,
       metrics,
@@ -206,24 +206,24 @@
       quarantine,
       replica,
       acquire: (run, deadlineMs, scope) => this._slots.acquire(run, deadlineMs, scope),
-      markGone: endpointId => this._parts.view.markGone(endpointId),
+      markRemoved: endpointId => this._options.view.markGone(endpointId),
       release: (run, engine) => this._slots.release(run, engine),
-      isHeldUp: () => this._slots.isHeldUp,
+      isOverloaded: () => this._slots.isOverloaded,
       shouldMove: (run, engine) => this._slots.shouldMove(run, engine),
-      onWhole: run => this.demand.made(run.item.model, run.output.lastEventId),
-      tokensPerEvent: run => this._places.of(run)?.modelEngine?.tokensPerEvent ?? 1,
-      enginesCount: run => this.engines.ofService(this._places.of(run)?.service ?? '').length,
+      onComplete: run => this.demand.made(run.item.model, run.output.lastEventId),
+      tokensPerEvent: run => this._placements.placementOf(run)?.modelEngine?.tokensPerEvent ?? 1,
+      enginesCount: run => this.engines.ofService(this._placements.placementOf(run)?.service ?? '').length,
       routeOf: (host, path) => this.routeOf(host, path)
     }
-    const run = new ItemRun(parts, batch, item, times, this._keptOutputOf(batch, item), this._seenItemKeys.has(keyOf(batch, item)))
+    const run = new ItemRun(options, batch, item, times, this._carriedOverOutputOf(batch, item), this._seenItemKeys.has(keyOf(batch, item)))
     this._seenItemKeys.add(keyOf(batch, item))
     const completed = this._completedResultOf(batch, item)
     this._runs.add(run)
     supervisor.spawn(`item ${item.itemId}`, async scope => {
       scope.onClose(() => {
         this._runs.delete(run)
-        this._slots.forget(run)
-        this._keepOutput(run)
+        this._slots.releaseReservation(run)
+        this._carryOverOutput(run)
       })
       await run.run(scope, completed)
     })
@@ -231,23 +231,23 @@
 
   /** A result of an earlier batch that fits this one as it is. */
   private _completedResultOf (batch: Batch, item: BatchItem): ItemResult | undefined {
-    const completed = this._parts.state.completedResult(item, batch.submission.account)
+    const completed = this._options.state.completedResult(item, batch.submission.account)
     if (!completed) return undefined
     return completed.versions.every(version => version >= batch.submission.minVersion) ? completed : undefined
   }
 
-  private _keptOutputOf (batch: Batch, item: BatchItem): ItemOutput | undefined {
-    const kept = this._keptOutputs.get(keyOf(batch, item))
-    this._keptOutputs.delete(keyOf(batch, item))
-    const output = kept ?? new ItemOutput(this._parts.state.unfinishedParts(item.itemId, batch.submission.account))
-    return output.isMadeSince(batch.submission.minVersion) ? output : undefined
+  private _carriedOverOutputOf (batch: Batch, item: BatchItem): ItemOutput | undefined {
+    const carriedOver = this._carriedOverOutputs.get(keyOf(batch, item))
+    this._carriedOverOutputs.delete(keyOf(batch, item))
+    const output = carriedOver ?? new ItemOutput(this._options.state.unfinishedParts(item.itemId, batch.submission.account))
+    return output.isGeneratedSince(batch.submission.minVersion) ? output : undefined
   }
 
-  private _keepOutput (run: ItemRun): void {
-    if (!run.isBegun || run.batch.isListed(run.item.itemId)) return
-    this._keptOutputs.set(keyOf(run.batch, run.item), run.output)
-    const [oldest] = this._keptOutputs.keys()
-    if (this._keptOutputs.size > MAX_KEPT_OUTPUTS_COUNT && oldest !== undefined) this._keptOutputs.delete(oldest)
+  private _carryOverOutput (run: ItemRun): void {
+    if (!run.isStarted || run.batch.isListed(run.item.itemId)) return
+    this._carriedOverOutputs.set(keyOf(run.batch, run.item), run.output)
+    const [oldest] = this._carriedOverOutputs.keys()
+    if (this._carriedOverOutputs.size > MAX_CARRIED_OVER_OUTPUTS_COUNT && oldest !== undefined) this._carriedOverOutputs.delete(oldest)
   }
 }
 
--- a/src/batches/batchReports.ts
+++ b/src/batches/batchReports.ts
@@ -12,7 +12,7 @@
 import type { BatchState } from './batchState.js'
 
 /** Whoever asks in vain asks again, many times a second; so many batches are told once. Far more than are open at once. */
-const MAX_TOLD_COUNT = 1_024
+const MAX_REPORTED_COUNT = 1_024
 
 /** Sets the gauges of what this replica holds. */
 export function setBatchGauges (state: BatchState, metrics: Metrics): void {
@@ -23,14 +23,14 @@
 
 /** Tells of a batch whose time is over, with what decided it. */
 export function reportForgotten (logger: Logger, { batchId, acceptedAtMs, keptMs, isEnded, results }: Batch, decidedAtMs: number): void {
-  logger.event(BatchEvent.BatchForgotten, { batchId, acceptedAtMs, decidedAtMs, keptMs, isEnded, listedCount: results.length })
+  logger.event(BatchEvent.BatchExpired, { batchId, acceptedAtMs, decidedAtMs, keptMs, isEnded, listedCount: results.length })
 }
 
 /** Tells once of each batch that was asked for and is not held here. */
-export class UnknownBatches {
+export class UnknownBatchReporter {
   private readonly _replica: Replica
   private readonly _logger: Logger
-  private readonly _told = new LRUCache<string, true>({ max: MAX_TOLD_COUNT })
+  private readonly _reported = new LRUCache<string, true>({ max: MAX_REPORTED_COUNT })
 
   constructor (replica: Replica, logger: Logger) {
     this._replica = replica
@@ -38,8 +38,8 @@
   }
 
   report (batchId: string, call: string): void {
-    if (this._told.has(batchId)) return
-    this._told.set(batchId, true)
+    if (this._reported.has(batchId)) return
+    this._reported.set(batchId, true)
     const { appliedIndex, leadership, core } = this._replica
     this._logger.event(BatchEvent.BatchUnknown, {
       batchId, call, appliedIndex, commitIndex: core.commitIndex, isLeader: leadership !== undefined, leaderHostId: core.leader?.hostId
--- a/src/batches/batchService.ts
+++ b/src/batches/batchService.ts
@@ -19,7 +19,7 @@
 import type { Batch } from './batch.js'
 import type { AskedBatch, NotLeader } from './batchClient.js'
 import { BatchEvent } from './batchEvents.js'
-import { UnknownBatches } from './batchReports.js'
+import { UnknownBatchReporter } from './batchReports.js'
 import type { BatchState } from './batchState.js'
 import { textLengthBytes } from './outputParts.js'
 import { StoreCapacity } from './storeCapacity.js'
@@ -31,7 +31,7 @@
 /** A read that waits for results ends this much before its caller gives up. */
 const WAIT_MARGIN_MS = 100
 
-export interface BatchServiceParts {
+export interface BatchServiceOptions {
   replica: Replica
   state: BatchState
   clock: Clock
@@ -44,29 +44,29 @@
 }
 
 export class BatchService {
-  private readonly _parts: BatchServiceParts
+  private readonly _options: BatchServiceOptions
   private readonly _capacity: StoreCapacity
-  private readonly _unknown: UnknownBatches
+  private readonly _unknownBatches: UnknownBatchReporter
 
-  constructor (parts: BatchServiceParts) {
-    this._parts = parts
-    this._capacity = new StoreCapacity(parts.state, parts.clock, parts.stateCapacityBytes)
-    this._unknown = new UnknownBatches(parts.replica, parts.logger)
+  constructor (options: BatchServiceOptions) {
+    this._options = options
+    this._capacity = new StoreCapacity(options.state, options.clock, options.stateCapacityBytes)
+    this._unknownBatches = new UnknownBatchReporter(options.replica, options.logger)
   }
 
   serve (handlers: RpcHandlers): void {
     handlers.on(submitBatchMethod, ({ submission }, remainingMs) => this._submit(submission, this._progress(remainingMs)))
-    handlers.on(readResultsMethod, (asked, remainingMs) => (
-      this._readResults(asked, asked.fromPosition, asked.waitMs, this._progress(remainingMs))
+    handlers.on(readResultsMethod, (request, remainingMs) => (
+      this._readResults(request, request.fromPosition, request.waitMs, this._progress(remainingMs))
     ))
-    handlers.on(readItemMethod, (asked, remainingMs) => this._readItem(asked, asked.itemId, this._progress(remainingMs)))
+    handlers.on(readItemMethod, (request, remainingMs) => this._readItem(request, request.itemId, this._progress(remainingMs)))
     handlers.on(batchReadIndexMethod, (_request, remainingMs) => this._readIndex(this._progress(remainingMs)))
     handlers.on(nameWeightsMethod, (weights, remainingMs) => this._nameWeights(weights, this._progress(remainingMs)))
-    handlers.on(endBatchMethod, (asked, remainingMs) => this._end(asked, this._progress(remainingMs)))
+    handlers.on(endBatchMethod, (request, remainingMs) => this._end(request, this._progress(remainingMs)))
   }
 
   private async _submit (submission: BatchSubmission, progress: Progress): Promise<SubmitBatchReply> {
-    const { replica, logger, keepMs } = this._parts
+    const { replica, logger, keepMs } = this._options
     if (!replica.leadership) return this._notLeader()
     const { batchId, step, items, model, minVersion } = submission
     const fullReason = this._capacity.reserve(submission)
@@ -85,31 +85,31 @@
     return outcome.kind === 'notCommitted' ? { kind: 'refused', reason: outcome.reason } : outcome
   }
 
-  private async _readResults (asked: AskedBatch, fromPosition: number, waitMs: number, progress: Progress): Promise<ReadResultsReply> {
-    const { clock, replica } = this._parts
+  private async _readResults (reference: AskedBatch, fromPosition: number, waitMs: number, progress: Progress): Promise<ReadResultsReply> {
+    const { clock, replica } = this._options
     const waiting = progress.before(Math.min(clock.nowMs() + waitMs, progress.deadlineMs - WAIT_MARGIN_MS))
-    const failure = await this._confirm(progress)
+    const failure = await this._confirmCurrent(progress)
     if (failure) return failure
     for (;;) {
-      const batch = this._batchOf(asked)
-      if (!batch) return this._unknownBatch(asked.batchId, 'readResults')
+      const batch = this._batchOf(reference)
+      if (!batch) return this._unknownBatch(reference.batchId, 'readResults')
       // The list only grows, so what is here after the confirmation is never out of date.
       if (batch.results.length > fromPosition || batch.isEnded || waiting.isOver()) return pageOf(batch, fromPosition)
       await replica.applied.wait(progress.scope, waiting)
     }
   }
 
-  private async _readItem (asked: AskedBatch, itemId: string, progress: Progress): Promise<ReadItemReply> {
-    const failure = await this._confirm(progress)
+  private async _readItem (reference: AskedBatch, itemId: string, progress: Progress): Promise<ReadItemReply> {
+    const failure = await this._confirmCurrent(progress)
     if (failure) return failure
-    const batch = this._batchOf(asked)
-    if (!batch) this._unknown.report(asked.batchId, 'readItem')
+    const batch = this._batchOf(reference)
+    if (!batch) this._unknownBatches.report(reference.batchId, 'readItem')
     const item = batch?.openItem(itemId)
     return item ? { kind: 'body', body: item.body } : { kind: 'absent' }
   }
 
   private async _end ({ batchId, account }: AskedBatch, progress: Progress): Promise<EndBatchReply> {
-    const { replica, logger } = this._parts
+    const { replica, logger } = this._options
     if (!replica.leadership) return this._notLeader()
     const outcome = await replica.propose({ kind: BatchCommandKind.End, batchId, account }, progress)
     if (outcome.kind !== 'committed') return { kind: 'unavailable', reason: outcome.reason }
@@ -119,17 +119,17 @@
   }
 
   private async _nameWeights (weights: NamedWeights, progress: Progress): Promise<NameWeightsReply> {
-    const { replica } = this._parts
+    const { replica } = this._options
     if (!replica.leadership) return this._notLeader()
     const outcome = await replica.propose({ kind: BatchCommandKind.NameWeights, ...weights }, progress)
     return outcome.kind === 'committed' ? { kind: 'committed' } : { kind: 'unavailable', reason: outcome.reason }
   }
 
   private async _readIndex (progress: Progress): Promise<BatchReadIndexReply> {
-    const read = await this._parts.replica.read(ReadMode.Lease, progress)
+    const read = await this._options.replica.read(ReadMode.Lease, progress)
     switch (read.kind) {
       case 'confirmed':
-        return { kind: 'confirmed', index: this._parts.replica.appliedIndex }
+        return { kind: 'confirmed', index: this._options.replica.appliedIndex }
       case 'notLeader':
         return this._notLeader()
       case 'unavailable':
@@ -138,16 +138,16 @@
   }
 
   /** What keeps this host from answering; undefined when its state is current. */
-  private async _confirm (progress: Progress): Promise<NotLeader | { kind: 'unavailable', reason: string } | undefined> {
-    const { replica } = this._parts
-    const reply = replica.leadership ? await this._readIndex(progress) : await this._askLeader(progress)
+  private async _confirmCurrent (progress: Progress): Promise<NotLeader | { kind: 'unavailable', reason: string } | undefined> {
+    const { replica } = this._options
+    const reply = replica.leadership ? await this._readIndex(progress) : await this._requestReadIndex(progress)
     if (reply.kind !== 'confirmed') return reply
     const applied = await progress.race(replica.whenApplied(reply.index))
     return applied.kind === 'done' ? undefined : { kind: 'unavailable', reason: 'this replica has not caught up in time' }
   }
 
-  private async _askLeader (progress: Progress): Promise<BatchReadIndexReply> {
-    const { replica } = this._parts
+  private async _requestReadIndex (progress: Progress): Promise<BatchReadIndexReply> {
+    const { replica } = this._options
     const { leader } = replica.core
     if (!leader) return this._notLeader()
     const outcome = await replica.links.to(leader).call(batchReadIndexMethod, {}, progress)
@@ -156,21 +156,21 @@
 
   /** The batch asked for; undefined when there is none, or none that the account may know of. */
   private _batchOf ({ batchId, account }: AskedBatch): Batch | undefined {
-    const batch = this._parts.state.get(batchId)
-    return batch?.isOf(account) === true ? batch : undefined
+    const batch = this._options.state.get(batchId)
+    return batch?.isAccessibleBy(account) === true ? batch : undefined
   }
 
   private _unknownBatch (batchId: string, call: string): { kind: 'unknownBatch' } {
-    this._unknown.report(batchId, call)
+    this._unknownBatches.report(batchId, call)
     return { kind: 'unknownBatch' }
   }
 
   private _notLeader (): NotLeader {
-    return { kind: 'notLeader', leaderAddress: this._parts.replica.core.leader?.peerAddress }
+    return { kind: 'notLeader', leaderAddress: this._options.replica.core.leader?.peerAddress }
   }
 
   private _progress (remainingMs: number): Progress {
-    const { clock, scope } = this._parts
+    const { clock, scope } = this._options
     return new Progress(clock, scope, clock.nowMs() + Math.min(remainingMs, MAX_WAIT_MS))
   }
 }
--- a/src/batches/batchState.ts
+++ b/src/batches/batchState.ts
@@ -56,7 +56,7 @@
 }
 
 /** Output that nobody finished for so long is forgotten. */
-const KEEP_UNFINISHED_MS = 30_000
+const UNFINISHED_RETENTION_MS = 30_000
 
 /** Told of what this replica learns, in a snapshot too. */
 export interface BatchStateListener {
@@ -99,7 +99,7 @@
   heldBytesAt (atMs: number): number {
     let heldBytes = 0
     for (const batch of this._batches.values()) heldBytes += batch.isOutdated(atMs) ? 0 : batch.heldBytes
-    for (const output of this._unfinished.values()) heldBytes += isForgotten(output, atMs) ? 0 : heldBytesOfUnfinished(output.itemId, output.parts)
+    for (const output of this._unfinished.values()) heldBytes += isOutputExpired(output, atMs) ? 0 : heldBytesOfUnfinished(output.itemId, output.parts)
     return heldBytes
   }
 
@@ -150,7 +150,7 @@
       case BatchCommandKind.Submit:
         return this._submit(command.submission, command.keepMs, atMs)
       case BatchCommandKind.Progress:
-        return this._keep(command.batchId, command.itemId, command.afterEventId, command.parts, atMs)
+        return this._appendOutput(command.batchId, command.itemId, command.afterEventId, command.parts, atMs)
       case BatchCommandKind.Finish:
         return this._finish(command.batchId, command.afterEventId, command.result)
       case BatchCommandKind.End:
@@ -184,14 +184,14 @@
 
   /** A result never changes, so one that is held already stands for the one that has come. */
   reuse (piece: unknown): unknown {
-    const fresh = piece as SnapshotPiece
-    if (fresh.kind !== 'results') return fresh
-    const held = this._batches.get(fresh.batchId)?.results ?? []
-    const results = fresh.results.map((result, offset) => {
-      const known = held[fresh.fromPosition + offset]
-      return known?.itemId === result.itemId ? known : result
+    const received = piece as SnapshotPiece
+    if (received.kind !== 'results') return received
+    const held = this._batches.get(received.batchId)?.results ?? []
+    const results = received.results.map((result, offset) => {
+      const existing = held[received.fromPosition + offset]
+      return existing?.itemId === result.itemId ? existing : result
     })
-    return { ...fresh, results }
+    return { ...received, results }
   }
 
   restore (pieces: readonly unknown[]): void {
@@ -207,7 +207,7 @@
   private _restorePiece (piece: SnapshotPiece): void {
     switch (piece.kind) {
       case 'batch':
-        this._hold(new Batch(piece.record))
+        this._add(new Batch(piece.record))
         return
       case 'results':
         return this._restoreResults(piece.batchId, piece.results, piece.rewardIds)
@@ -228,23 +228,23 @@
   private _restoreResults (batchId: string, results: ItemResult[], rewardIds: (string | undefined)[]): void {
     const batch = this._batches.get(batchId)
     invariant(batch, `results of batch ${batchId} come before it`)
-    for (const [position, result] of results.entries()) this._remember(batch, result, batch.restore(result, rewardIds[position]))
+    for (const [position, result] of results.entries()) this._recordCompleted(batch, result, batch.restore(result, rewardIds[position]))
   }
 
   private _submit (submission: BatchSubmission, keepMs: number, atMs: number): BatchCommandResult {
-    this._forgetOutdated(atMs)
-    const known = this._batches.get(submission.batchId)
-    if (known?.isOf(submission.account) === false) return { kind: 'foreign' }
-    if (!known) this._hold(Batch.accepted(submission, atMs, keepMs))
+    this._removeExpired(atMs)
+    const existing = this._batches.get(submission.batchId)
+    if (existing?.isAccessibleBy(submission.account) === false) return { kind: 'foreign' }
+    if (!existing) this._add(Batch.accepted(submission, atMs, keepMs))
     return { kind: 'accepted' }
   }
 
-  private _hold (batch: Batch): void {
+  private _add (batch: Batch): void {
     this._batches.set(batch.batchId, batch)
     this._listener.onTaken?.(batch)
   }
 
-  private _keep (batchId: string, itemId: string, afterEventId: number, parts: OutputPart[], atMs: number): BatchCommandResult {
+  private _appendOutput (batchId: string, itemId: string, afterEventId: number, parts: OutputPart[], atMs: number): BatchCommandResult {
     const batch = this._batches.get(batchId)
     if (!batch?.openItem(itemId)) return { kind: 'closed' }
     const { account } = batch.submission
@@ -264,13 +264,13 @@
     const position = batch.list(result)
     if (position === undefined) return { kind: 'closed' }
     this._unfinished.delete(itemKeyOf(account, result.itemId))
-    this._remember(batch, result, position)
+    this._recordCompleted(batch, result, position)
     return { kind: 'listed', position }
   }
 
   private _end (batchId: string, account: string | undefined): BatchCommandResult {
     const batch = this._batches.get(batchId)
-    if (batch?.isOf(account) !== true) return { kind: 'unknownBatch' }
+    if (batch?.isAccessibleBy(account) !== true) return { kind: 'unknownBatch' }
     batch.end()
     return { kind: 'ended' }
   }
@@ -292,14 +292,14 @@
     return { kind: 'named' }
   }
 
-  private _remember (batch: Batch, result: ItemResult, position: number): void {
+  private _recordCompleted (batch: Batch, result: ItemResult, position: number): void {
     if (result.state !== ResultState.Completed) return
     this._completed.set(itemKeyOf(batch.submission.account, result.itemId), { result, rewardId: batch.rewardIdAt(position) })
   }
 
-  private _forgetOutdated (atMs: number): void {
+  private _removeExpired (atMs: number): void {
     for (const [key, output] of this._unfinished) {
-      if (isForgotten(output, atMs)) this._unfinished.delete(key)
+      if (isOutputExpired(output, atMs)) this._unfinished.delete(key)
     }
     for (const [batchId, batch] of this._batches) {
       if (!batch.isOutdated(atMs)) continue
@@ -313,8 +313,8 @@
   }
 }
 
-function isForgotten ({ keptAtMs }: UnfinishedOutput, atMs: number): boolean {
-  return atMs - keptAtMs > KEEP_UNFINISHED_MS
+function isOutputExpired ({ keptAtMs }: UnfinishedOutput, atMs: number): boolean {
+  return atMs - keptAtMs > UNFINISHED_RETENTION_MS
 }
 
 function * piecesOf (batches: BatchRecord[], outputs: UnfinishedOutput[], orders: AnnouncedOrder[], weights: NamedWeights[], supply: SupplySnapshot): Generator<SnapshotPiece> {
--- a/src/batches/batchTimes.ts
+++ b/src/batches/batchTimes.ts
@@ -16,14 +16,14 @@
   /** When the results are due, or are last of use if that has passed. */
   dueAtMs: number
   /** From then on an item may be given up. */
-  giveUpAtMs: number
+  abandonAtMs: number
   /** When its longest sample is expected to end, if that begins at once. */
   longestEndsAtMs: number
 }
 
 export class BatchAges {
   private readonly _clock: Clock
-  private readonly _takenAtMs = new WeakMap<Batch, number>()
+  private readonly _addedAtMs = new WeakMap<Batch, number>()
 
   constructor (clock: Clock) {
     this._clock = clock
@@ -31,13 +31,13 @@
 
   /** This replica holds the batch from now on. */
   taken (batch: Batch): void {
-    this._takenAtMs.set(batch, this._clock.nowMs())
+    this._addedAtMs.set(batch, this._clock.nowMs())
   }
 
   /** Time that a batch is accepted for at least: what this replica's own clock has seen of it. */
-  private _seenMs (batch: Batch): number {
+  private _observedAgeMs (batch: Batch): number {
     const nowMs = this._clock.nowMs()
-    return nowMs - (this._takenAtMs.get(batch) ?? nowMs)
+    return nowMs - (this._addedAtMs.get(batch) ?? nowMs)
   }
 
   /**
@@ -45,17 +45,17 @@
    * them goes by the wall clocks of two leaders, which may differ; nothing is given
    * up before this host's own clock says so.
    */
-  timesOf (batch: Batch, promise: BatchPromise | undefined): BatchTimes {
+  timesOf (batch: Batch, batchPromise: BatchPromise | undefined): BatchTimes {
     const nowMs = this._clock.nowMs()
-    const dueMs = promise?.dueMs ?? DEFAULT_DUE_MS
-    const maxQueueMs = promise?.maxQueueMs ?? DEFAULT_DUE_MS
-    const seenMs = this._seenMs(batch)
-    const ageMs = Math.max(seenMs, Math.min(maxQueueMs, this._clock.wallMs() - batch.acceptedAtMs))
+    const dueMs = batchPromise?.dueMs ?? DEFAULT_DUE_MS
+    const maxQueueMs = batchPromise?.maxQueueMs ?? DEFAULT_DUE_MS
+    const observedAgeMs = this._observedAgeMs(batch)
+    const ageMs = Math.max(observedAgeMs, Math.min(maxQueueMs, this._clock.wallMs() - batch.acceptedAtMs))
     const longestMs = Math.max(0, ...batch.openItems().map(({ expectedTokensCount }) => expectedTokensCount * ASSUMED_TOKEN_MS))
     const isLate = ageMs >= dueMs
     return {
       dueAtMs: nowMs - ageMs + (isLate ? Math.max(dueMs, maxQueueMs) : dueMs),
-      giveUpAtMs: nowMs - seenMs + maxQueueMs,
+      abandonAtMs: nowMs - observedAgeMs + maxQueueMs,
       longestEndsAtMs: nowMs + longestMs
     }
   }
--- a/src/batches/itemOrder.ts
+++ b/src/batches/itemOrder.ts
@@ -9,7 +9,7 @@
   /** When the results of its batch are due. */
   dueAtMs: number
   /** Part of its output is there already. */
-  isBegun: boolean
+  isStarted: boolean
   /** It returned from an earlier batch; its trainer waits for it first. */
   isCarriedOver: boolean
   /** Tokens still to be made, as far as its submitter can tell. */
@@ -27,13 +27,13 @@
 const MAX_PRIORITY_SHIFT_MS = 100
 
 /** The latest instant at which an item can start and still be whole in time. */
-export function latestStartMs ({ dueAtMs, remainingTokensCount }: WaitingItem, tokenMs: number): number {
+export function latestStartAtMs ({ dueAtMs, remainingTokensCount }: WaitingItem, tokenMs: number): number {
   return dueAtMs - remainingTokensCount * tokenMs
 }
 
 /** The instant by which items go, moved by priority. */
-function placeMs (item: WaitingItem, tokenMs: number): number {
-  return latestStartMs(item, tokenMs) + Math.min(MAX_PRIORITY_SHIFT_MS, Math.max(0, item.priority) * PRIORITY_STEP_MS)
+function sortKeyMs (item: WaitingItem, tokenMs: number): number {
+  return latestStartAtMs(item, tokenMs) + Math.min(MAX_PRIORITY_SHIFT_MS, Math.max(0, item.priority) * PRIORITY_STEP_MS)
 }
 
 /**
@@ -43,15 +43,15 @@
  * ahead of all. Priority moves an item by a bounded time.
  */
 export function compareWaiting (left: WaitingItem, right: WaitingItem, tokenMs: number): number {
-  if (left.isBegun !== right.isBegun) return left.isBegun ? -1 : 1
+  if (left.isStarted !== right.isStarted) return left.isStarted ? -1 : 1
   if (left.isCarriedOver !== right.isCarriedOver) return left.isCarriedOver ? -1 : 1
-  return placeMs(left, tokenMs) - placeMs(right, tokenMs)
+  return sortKeyMs(left, tokenMs) - sortKeyMs(right, tokenMs)
 }
 
 /** A full batch makes each step of an engine slower: 37 ms an event alone, 42 beside eleven others with what they have read. */
 const FULL_BATCH_SLOWDOWN = 0.13
 /** An engine whose pace or health is in doubt weighs as much slower than its nature, so that it is tried when the others are full. */
-const DOUBT_COST = 0.2
+const UNCERTAINTY_COST = 0.2
 
 /** Time that an engine is expected to need for an event, whatever runs there. */
 export function expectedGapMs (engine: Engine, assumedGapMs: number): number {
@@ -66,13 +66,13 @@
 export interface EngineLoad {
   /** Time that it is expected to need for an event, whatever runs there. */
   gapMs: number
-  isInDoubt: boolean
+  isUncertain: boolean
   engine: Engine
   kvCapacityTokens: number
 }
 
 export function loadOf (engine: Engine, assumedGapMs: number, kvCapacityTokens: number): EngineLoad {
-  return { gapMs: expectedGapMs(engine, assumedGapMs), isInDoubt: engine.pace.isInDoubt || engine.health.isOnTrial, engine, kvCapacityTokens }
+  return { gapMs: expectedGapMs(engine, assumedGapMs), isUncertain: engine.pace.isInDoubt || engine.health.isOnTrial, engine, kvCapacityTokens }
 }
 
 /**
@@ -80,9 +80,9 @@
  * runs, and the memory that is left. Memory weighs little until it runs short,
  * because an engine that runs out of it sets its newest run back to the start.
  */
-export function eventCostMs ({ gapMs, isInDoubt, engine, kvCapacityTokens }: EngineLoad): number {
+export function eventCostMs ({ gapMs, isUncertain: isInDoubt, engine, kvCapacityTokens }: EngineLoad): number {
   const memoryShare = engine.heldTokensCount / Math.max(1, kvCapacityTokens)
-  return gapMs * (1 + FULL_BATCH_SLOWDOWN * busyShareOf(engine) + memoryShare ** 2 + (isInDoubt ? DOUBT_COST : 0))
+  return gapMs * (1 + FULL_BATCH_SLOWDOWN * busyShareOf(engine) + memoryShare ** 2 + (isInDoubt ? UNCERTAINTY_COST : 0))
 }
 
 /** The engine on which an item is expected to end first. */
@@ -130,26 +130,26 @@
 /** A run that gains less than this stays: moving reads the prompt and what was made again, some 20 ms, and loses an event on the way. */
 const MIN_MOVING_GAIN_MS = 300
 /** Hints are often far off: a run is expected to make this share of its events once more. Measured: 0.9 after 40 events, 0.5 after 80. */
-const EXPECTED_MORE_SHARE = 0.75
+const EXPECTED_REMAINING_SHARE = 0.75
 
 /** A run as far as a move depends on it, counted in events. */
-export interface MovingRun {
-  madeCount: number
+export interface RunEstimate {
+  generatedCount: number
   /** What its submitter still expects. */
-  hintedCount: number
+  hintedRemainingCount: number
   /** The longest output of the model that was seen. */
   longestCount: number
 }
 
 /** Events that a run will still make, as far as its hint, what it has made and the longest one seen tell. */
-export function expectedEventsCount ({ madeCount, hintedCount, longestCount }: MovingRun): number {
-  const moreCount = Math.max(hintedCount, EXPECTED_MORE_SHARE * madeCount)
-  const isWithinSeen = madeCount < longestCount
-  return isWithinSeen ? Math.min(moreCount, longestCount - madeCount) : moreCount
+export function expectedEventsCount ({ generatedCount, hintedRemainingCount, longestCount }: RunEstimate): number {
+  const remainingCount = Math.max(hintedRemainingCount, EXPECTED_REMAINING_SHARE * generatedCount)
+  const isWithinLongest = generatedCount < longestCount
+  return isWithinLongest ? Math.min(remainingCount, longestCount - generatedCount) : remainingCount
 }
 
 /** Time that a run saves by going on at another engine; 0 when it had better stay. */
-export function movingGainMs (from: Engine, to: Engine, run: MovingRun): number {
+export function movingGainMs (from: Engine, to: Engine, run: RunEstimate): number {
   const gainMs = expectedEventsCount(run) * gainPerEventMs(from, to)
   return gainMs > MIN_MOVING_GAIN_MS ? gainMs : 0
 }
--- a/src/batches/itemOutput.ts
+++ b/src/batches/itemOutput.ts
@@ -9,7 +9,7 @@
 import { invariant } from '../utils/errors.js'
 import { eventsCountOf, toPart } from './outputParts.js'
 
-interface MadeEvent {
+interface OutputEvent {
   data: string
   version: number
 }
@@ -18,15 +18,15 @@
   /** What the replicated state kept when this host began. */
   private _base: readonly OutputPart[]
   private _baseCount: number
-  private _events: MadeEvent[] = []
-  private _keptCount: number
+  private _events: OutputEvent[] = []
+  private _replicatedCount: number
   private _generation = 0
 
   /** @param base what the replicated state keeps of the item */
   constructor (base: readonly OutputPart[] = []) {
     this._base = base
     this._baseCount = eventsCountOf(base)
-    this._keptCount = this._baseCount
+    this._replicatedCount = this._baseCount
   }
 
   /** Id of the last event held; 0 before the first. */
@@ -35,13 +35,13 @@
   }
 
   /** Events that the replicated state keeps. */
-  get keptCount (): number {
-    return this._keptCount
+  get replicatedCount (): number {
+    return this._replicatedCount
   }
 
   /** Events that it does not keep yet. */
-  get freshCount (): number {
-    return this.lastEventId - this._keptCount
+  get unreplicatedCount (): number {
+    return this.lastEventId - this._replicatedCount
   }
 
   /** Changes when the output begins anew. */
@@ -61,39 +61,39 @@
   }
 
   /** The events that the replicated state does not keep yet. */
-  freshParts (): OutputPart[] {
-    if (this._keptCount < this._baseCount) return [...this._base, partOf(this._events)]
-    return [partOf(this._events.slice(this._keptCount - this._baseCount))]
+  unreplicatedParts (): OutputPart[] {
+    if (this._replicatedCount < this._baseCount) return [...this._base, partOf(this._events)]
+    return [partOf(this._events.slice(this._replicatedCount - this._baseCount))]
   }
 
   /** The replicated state keeps the events up to this one. */
-  markKept (lastEventId: number): void {
-    this._keptCount = lastEventId
+  markReplicated (lastEventId: number): void {
+    this._replicatedCount = lastEventId
   }
 
   /** The replicated state keeps something else than was believed: everything has to be sent again. */
-  distrustKept (): void {
-    this._keptCount = 0
+  resetReplicated (): void {
+    this._replicatedCount = 0
   }
 
   /** Whether every event was made by a version at least this new. */
-  isMadeSince (version: number): boolean {
-    return this.versions.every(made => made >= version)
+  isGeneratedSince (version: number): boolean {
+    return this.versions.every(each => each >= version)
   }
 
   clear (): void {
     this._base = []
     this._baseCount = 0
     this._events = []
-    this._keptCount = 0
+    this._replicatedCount = 0
     this._generation++
   }
 }
 
-function partOf (events: readonly MadeEvent[]): OutputPart {
+function partOf (events: readonly OutputEvent[]): OutputPart {
   return toPart(events.map(({ data }) => data), versionsOf(events))
 }
 
-function versionsOf (events: readonly MadeEvent[]): number[] {
+function versionsOf (events: readonly OutputEvent[]): number[] {
   return [...new Set(events.map(({ version }) => version))]
 }
--- a/src/batches/outputKeeper.ts
+++ b/src/batches/outputKeeper.ts
@@ -11,63 +11,63 @@
 import type { ItemOutput } from './itemOutput.js'
 
 /** So many events are put into the replicated state together: under a second of a run, which a new leader would have to repeat. */
-const KEEP_EVENTS_COUNT = 16
+const REPLICATED_EVENTS_COUNT = 16
 /** Of a run that has made this many already, fewer at a time: a step ends with its longest samples, and waits for what a dead leader lost of them, 0.1 s on average instead of 0.3 s at 40 ms an event (worked out). */
 const LONG_RUN_EVENTS_COUNT = 64
-const KEEP_LONG_EVENTS_COUNT = 6
+const LONG_RUN_REPLICATED_EVENTS_COUNT = 6
 const COMMIT_TIMEOUT_MS = 2_000
 
-export interface OutputKeeperParts {
+export interface OutputReplicatorOptions {
   clock: Clock
   replica: Replica
   batchId: string
   itemId: string
   output: ItemOutput
   /** Told when events were not kept, or may not have been. */
-  onNotKept: (afterEventId: number, outcome: string) => void
+  onNotReplicated: (afterEventId: number, outcome: string) => void
 }
 
-export class OutputKeeper {
-  private readonly _parts: OutputKeeperParts
-  private _keeping: Promise<void> | undefined
+export class OutputReplicator {
+  private readonly _options: OutputReplicatorOptions
+  private _replicating: Promise<void> | undefined
 
-  constructor (parts: OutputKeeperParts) {
-    this._parts = parts
+  constructor (options: OutputReplicatorOptions) {
+    this._options = options
   }
 
   /** Events were added: keeps them once there are enough. */
-  outputGrew (scope: Scope): void {
-    if (this._keeping || this._parts.output.freshCount < this._eventsAtATime()) return
-    this._keeping = this._keepFresh(scope).catch(error => {
+  replicateIfEnough (scope: Scope): void {
+    if (this._replicating || this._options.output.unreplicatedCount < this._eventsPerCommand()) return
+    this._replicating = this._replicateNew(scope).catch(error => {
       if (!(error instanceof ScopeClosedError)) throw error
-    }).finally(() => { this._keeping = undefined })
+    }).finally(() => { this._replicating = undefined })
   }
 
   /** Waits for what is being kept. */
-  async settled (scope: Scope): Promise<void> {
-    if (this._keeping) await scope.race(this._keeping)
+  async whenIdle (scope: Scope): Promise<void> {
+    if (this._replicating) await scope.race(this._replicating)
   }
 
   /** Keeps all that there is. */
-  async keepAll (progress: Progress): Promise<void> {
-    if (this._keeping) await progress.race(this._keeping)
-    if (this._parts.output.freshCount > 0) await this._keepFresh(progress.scope)
+  async replicateAll (progress: Progress): Promise<void> {
+    if (this._replicating) await progress.race(this._replicating)
+    if (this._options.output.unreplicatedCount > 0) await this._replicateNew(progress.scope)
   }
 
-  private _eventsAtATime (): number {
-    return this._parts.output.lastEventId < LONG_RUN_EVENTS_COUNT ? KEEP_EVENTS_COUNT : KEEP_LONG_EVENTS_COUNT
+  private _eventsPerCommand (): number {
+    return this._options.output.lastEventId < LONG_RUN_EVENTS_COUNT ? REPLICATED_EVENTS_COUNT : LONG_RUN_REPLICATED_EVENTS_COUNT
   }
 
-  private async _keepFresh (scope: Scope): Promise<void> {
-    const { clock, replica, output, batchId, itemId, onNotKept } = this._parts
-    const { keptCount: afterEventId, lastEventId, generation } = output
-    const command = { kind: BatchCommandKind.Progress, batchId, itemId, afterEventId, parts: output.freshParts() }
+  private async _replicateNew (scope: Scope): Promise<void> {
+    const { clock, replica, output, batchId, itemId, onNotReplicated } = this._options
+    const { replicatedCount: afterEventId, lastEventId, generation } = output
+    const command = { kind: BatchCommandKind.Progress, batchId, itemId, afterEventId, parts: output.unreplicatedParts() }
     const outcome = await replica.propose(command, new Progress(clock, scope, clock.nowMs() + COMMIT_TIMEOUT_MS))
     const answer = outcome.kind === 'committed' ? (outcome.result as BatchCommandResult).kind : outcome.kind
     if (output.generation !== generation) return
-    if (answer === 'kept') return output.markKept(lastEventId)
-    onNotKept(afterEventId, answer)
+    if (answer === 'kept') return output.markReplicated(lastEventId)
+    onNotReplicated(afterEventId, answer)
     // Whether it was kept is not known, or it was not: the next part brings everything.
-    output.distrustKept()
+    output.resetReplicated()
   }
 }
--- a/src/batches/rewardScoring.ts
+++ b/src/batches/rewardScoring.ts
@@ -18,7 +18,7 @@
 const REWARD_TIMEOUT_MS = 2_000
 const RETRY_PAUSE_MS = 50
 /** A call under which endpoints end goes to none of them: whether it was lifted is looked at this often. */
-const HELD_BACK_PAUSE_MS = 1_000
+const QUARANTINED_PAUSE_MS = 1_000
 const HTTP_OK_MIN = 200
 const HTTP_OK_MAX = 299
 
@@ -28,7 +28,7 @@
   /** No further call is allowed. */
   | { kind: 'lost' }
 
-export interface RewardScoringParts {
+export interface RewardScoringOptions {
   clock: Clock
   metrics: Metrics
   forwarder: RequestForwarder
@@ -39,15 +39,15 @@
 }
 
 export class RewardScoring {
-  private readonly _parts: RewardScoringParts
+  private readonly _options: RewardScoringOptions
 
-  constructor (parts: RewardScoringParts) {
-    this._parts = parts
+  constructor (options: RewardScoringOptions) {
+    this._options = options
   }
 
-  /** @param giveUpAtMs from then on a call that is sent to no endpoint is given up */
-  async score (reward: RewardCall, giveUpAtMs: number, scope: Scope): Promise<RewardScore> {
-    const { clock, routeOf } = this._parts
+  /** @param abandonAtMs from then on a call that is sent to no endpoint is given up */
+  async score (reward: RewardCall, abandonAtMs: number, scope: Scope): Promise<RewardScore> {
+    const { clock, routeOf } = this._options
     let failuresCount = 0
     for (;;) {
       const route = routeOf(reward.host, reward.path)
@@ -57,15 +57,15 @@
         if (receipt !== undefined) return { kind: 'scored', receipt }
         failuresCount += outcome.failedAnswersCount
       }
-      const isHeldBack = isQuarantined(outcome)
-      const hasFailedOften = route !== undefined && failuresCount >= route.maxAttemptsCount
-      if (hasFailedOften || (isHeldBack && clock.nowMs() >= giveUpAtMs)) return { kind: 'lost' }
-      await sleepUntil(clock, scope, clock.nowMs() + (isHeldBack ? HELD_BACK_PAUSE_MS : RETRY_PAUSE_MS))
+      const isWithheld = isQuarantined(outcome)
+      const hasExhaustedAttempts = route !== undefined && failuresCount >= route.maxAttemptsCount
+      if (hasExhaustedAttempts || (isWithheld && clock.nowMs() >= abandonAtMs)) return { kind: 'lost' }
+      await sleepUntil(clock, scope, clock.nowMs() + (isWithheld ? QUARANTINED_PAUSE_MS : RETRY_PAUSE_MS))
     }
   }
 
   private async _call (reward: RewardCall, route: RoutingRoute, scope: Scope): Promise<ForwardOutcome> {
-    const { clock, forwarder, metrics, onCalled } = this._parts
+    const { clock, forwarder, metrics, onCalled } = this._options
     const outcome = await forwarder.forward({
       route,
       method: 'POST',
@@ -78,8 +78,8 @@
       isPersistent: true
     })
     metrics.count(MetricName.RewardCalled, { outcome: outcome.kind })
-    const seen = outcome.kind === 'answered' ? { status: outcome.status, failedAnswersCount: outcome.failedAnswersCount } : { reason: outcome.reason }
-    onCalled({ rewardId: reward.rewardId, outcome: outcome.kind, ...seen })
+    const details = outcome.kind === 'answered' ? { status: outcome.status, failedAnswersCount: outcome.failedAnswersCount } : { reason: outcome.reason }
+    onCalled({ rewardId: reward.rewardId, outcome: outcome.kind, ...details })
     return outcome
   }
 }
--- a/src/batches/runOutcome.ts
+++ b/src/batches/runOutcome.ts
@@ -18,15 +18,15 @@
 
 export interface EndedRun {
   engine: Engine
-  beganAtMs: number
+  startedAtMs: number
   /** What its item has met at all engines. */
   failures: FailureAccount
   /** Another endpoint has an engine's address. */
-  markGone: (endpointId: string) => void
+  markRemoved: (endpointId: string) => void
 }
 
 /** Notes in what is known of the engine how a run there has ended. */
-export function noteOutcome (outcome: RunOutcome, { engine, beganAtMs, failures, markGone }: EndedRun): void {
+export function recordOutcome (outcome: RunOutcome, { engine, startedAtMs, failures, markRemoved }: EndedRun): void {
   const { health } = engine
   switch (outcome.kind) {
     case 'finished':
@@ -36,25 +36,25 @@
       return
     case 'failed':
       health.worked()
-      failures.note(engine.id, health, beganAtMs, outcome.status)
+      failures.note(engine.id, health, startedAtMs, outcome.status)
       return
     case 'notBegun':
       // That others go on there says nothing of whether it begins what it takes.
-      health.failed(FailureReason.Broken, beganAtMs)
-      failures.noteUnbegun(engine.id, health, beganAtMs)
+      health.failed(FailureReason.Broken, startedAtMs)
+      failures.noteUnbegun(engine.id, health, startedAtMs)
       return
     case 'notExecuted':
       health.wasFull(undefined)
       return
     case 'misdirected':
-      markGone(engine.id)
+      markRemoved(engine.id)
       return
     case 'unreached':
-      if (outcome.isRefused === true) health.refused(beganAtMs)
-      else health.failed(FailureReason.Unreached, beganAtMs)
+      if (outcome.isRefused === true) health.refused(startedAtMs)
+      else health.failed(FailureReason.Unreached, startedAtMs)
       return
     case 'broken':
-      health.failed(FailureReason.Broken, beganAtMs)
+      health.failed(FailureReason.Broken, startedAtMs)
       return
     default:
       unreachable(outcome)
--- a/src/batches/slotSharing.ts
+++ b/src/batches/slotSharing.ts
@@ -10,7 +10,7 @@
  */
 
 /** An item that may wait, as far as that depends on it. */
-export interface PatientItem {
+export interface DeferrableItem {
   /** When the longest sample of its batch is expected to end: until then, its trainer waits anyway. */
   longestEndsAtMs: number
   /** Events that are still to be made, as far as its submitter can tell. */
@@ -23,7 +23,7 @@
 const HINT_ERROR_EVENTS_COUNT = 40
 
 /** The instant until which an item loses nothing by waiting, even if it is as long as its hint may be wrong. */
-export function patientUntilMs ({ longestEndsAtMs, remainingEventsCount }: PatientItem, gapMs: number): number {
+export function deferrableUntilMs ({ longestEndsAtMs, remainingEventsCount }: DeferrableItem, gapMs: number): number {
   return longestEndsAtMs - (HINT_ERROR_FACTOR * remainingEventsCount + HINT_ERROR_EVENTS_COUNT) * gapMs
 }
 
@@ -43,8 +43,8 @@
  * up to there an engine loses little (0.4 ms an event for each run beside, from 37
  * and 42 ms for one run and twelve).
  */
-export function slotsForPatient ({ workMs, horizonMs, enginesCount, slotsCount }: OpenWork): number {
+export function slotsForDeferrable ({ workMs, horizonMs, enginesCount, slotsCount }: OpenWork): number {
   const neededCount = Math.ceil(workMs / Math.max(1, horizonMs) / Math.max(1, enginesCount))
-  const leastCount = Math.floor(slotsCount / 2) + 1
-  return Math.min(slotsCount, Math.max(leastCount, neededCount))
+  const minCount = Math.floor(slotsCount / 2) + 1
+  return Math.min(slotsCount, Math.max(minCount, neededCount))
 }
--- a/src/batches/startPacing.ts
+++ b/src/batches/startPacing.ts
@@ -17,16 +17,16 @@
 /** Eight hundred a second: a burst that fills 250 slots takes 0.3 s, a small part of a step. */
 const STARTS_PER_TURN_COUNT = 16
 /** However late it is, it begins one run after so long: what keeps it busy may not be runs. */
-const FLOOR_INTERVAL_MS = 200
+const OVERLOADED_START_INTERVAL_MS = 200
 /** A timer this late is held up by work: well under the time that followers wait for a heartbeat (600 ms), well over what a collection of garbage takes. */
-const LATE_MS = 60
+const OVERLOAD_LATENESS_MS = 60
 
 export class StartPacing {
   private readonly _clock: Clock
   private _dueAtMs: number
   private _isLate = false
-  private _leftCount = STARTS_PER_TURN_COUNT
-  private _startedAtMs = Number.NEGATIVE_INFINITY
+  private _remainingCount = STARTS_PER_TURN_COUNT
+  private _lastStartAtMs = Number.NEGATIVE_INFINITY
 
   constructor (clock: Clock) {
     this._clock = clock
@@ -39,25 +39,25 @@
   }
 
   /** This host is held up: its last timer was late, or the next one is. */
-  get isHeldUp (): boolean {
-    return this._isLate || this._latenessMs() > LATE_MS
+  get isOverloaded (): boolean {
+    return this._isLate || this._latenessMs() > OVERLOAD_LATENESS_MS
   }
 
   get mayStart (): boolean {
-    if (this.isHeldUp) return this._clock.nowMs() >= this._startedAtMs + FLOOR_INTERVAL_MS
-    return this._leftCount > 0
+    if (this.isOverloaded) return this._clock.nowMs() >= this._lastStartAtMs + OVERLOADED_START_INTERVAL_MS
+    return this._remainingCount > 0
   }
 
-  started (): void {
-    this._leftCount--
-    this._startedAtMs = this._clock.nowMs()
+  recordStart (): void {
+    this._remainingCount--
+    this._lastStartAtMs = this._clock.nowMs()
   }
 
   /** To be called by a timer at the instant that was due; how late it was. */
   beginTurn (): number {
     const latenessMs = this._latenessMs()
-    this._isLate = latenessMs > LATE_MS
-    this._leftCount = STARTS_PER_TURN_COUNT
+    this._isLate = latenessMs > OVERLOAD_LATENESS_MS
+    this._remainingCount = STARTS_PER_TURN_COUNT
     this._dueAtMs = this._clock.nowMs() + TURN_MS
     return Math.max(0, latenessMs)
   }
--- a/src/batches/stepReports.ts
+++ b/src/batches/stepReports.ts
@@ -21,7 +21,7 @@
   /** A run of it failed a moment ago. */
   Pausing = 'pausing',
   /** Engines ended under it: it goes to none. */
-  HeldBack = 'held_back',
+  Withheld = 'held_back',
   Scoring = 'scoring',
   /** Its result is being put into the log. */
   Committing = 'committing'
@@ -51,11 +51,11 @@
 export interface ReportedStep {
   batch: Batch
   /** When this host began to run it. */
-  begunAtMs: number
+  startedAtMs: number
   dueAtMs: number
 }
 
-export interface StepReportsParts<Item extends ReportedItem> {
+export interface StepReportsOptions<Item extends ReportedItem> {
   clock: Clock
   logger: Logger
   metrics: Metrics
@@ -68,31 +68,31 @@
 type Counts = Partial<Record<ItemStage | WaitReason, number>>
 
 export class StepReports<Item extends ReportedItem> {
-  private readonly _parts: StepReportsParts<Item>
+  private readonly _options: StepReportsOptions<Item>
   /** Models that a gauge was set for. */
   private readonly _models = new Set<string>()
 
-  constructor (parts: StepReportsParts<Item>) {
-    this._parts = parts
+  constructor (options: StepReportsOptions<Item>) {
+    this._options = options
   }
 
   async run (scope: Scope): Promise<void> {
-    await everySecond(this._parts.clock, scope, () => this.report())
+    await everySecond(this._options.clock, scope, () => this.report())
   }
 
   report (): void {
-    const { clock, logger } = this._parts
+    const { clock, logger } = this._options
     const nowMs = clock.nowMs()
     const counts = this._countItems()
-    const steps = this._parts.steps().filter(({ batch }) => !batch.isEnded)
+    const steps = this._options.steps().filter(({ batch }) => !batch.isEnded)
     for (const step of steps) {
       const { batchId, submission, results } = step.batch
-      logger.event(BatchEvent.StepWaits, {
+      logger.event(BatchEvent.StepWaiting, {
         batchId,
         model: submission.model,
         step: submission.step,
         minVersion: submission.minVersion,
-        openForMs: Math.round(nowMs - step.begunAtMs),
+        openForMs: Math.round(nowMs - step.startedAtMs),
         dueInMs: Math.round(step.dueAtMs - nowMs),
         itemsCount: submission.itemsCount,
         listedCount: results.length,
@@ -104,24 +104,24 @@
 
   private _countItems (): Map<Batch, Counts> {
     const counts = new Map<Batch, Counts>()
-    for (const item of this._parts.items()) {
-      const ofBatch = counts.get(item.batch) ?? {}
-      counts.set(item.batch, ofBatch)
-      ofBatch[item.stage] = (ofBatch[item.stage] ?? 0) + 1
+    for (const item of this._options.items()) {
+      const batchCounts = counts.get(item.batch) ?? {}
+      counts.set(item.batch, batchCounts)
+      batchCounts[item.stage] = (batchCounts[item.stage] ?? 0) + 1
       if (item.stage !== ItemStage.Queued) continue
-      const reason = this._parts.waitReasonOf(item)
-      ofBatch[reason] = (ofBatch[reason] ?? 0) + 1
+      const reason = this._options.waitReasonOf(item)
+      batchCounts[reason] = (batchCounts[reason] ?? 0) + 1
     }
     return counts
   }
 
   private _setGauges (steps: ReportedStep[], counts: Map<Batch, Counts>, nowMs: number): void {
-    const { metrics } = this._parts
+    const { metrics } = this._options
     for (const { batch } of steps) this._models.add(batch.submission.model)
     for (const model of this._models) {
-      const own = steps.filter(({ batch }) => batch.submission.model === model)
-      const sum = (key: ItemStage | WaitReason): number => own.reduce((total, { batch }) => total + (counts.get(batch)?.[key] ?? 0), 0)
-      metrics.gauge(MetricName.StepOpenMs, Math.max(0, ...own.map(({ begunAtMs }) => Math.round(nowMs - begunAtMs))), { model })
+      const modelSteps = steps.filter(({ batch }) => batch.submission.model === model)
+      const sum = (key: ItemStage | WaitReason): number => modelSteps.reduce((total, { batch }) => total + (counts.get(batch)?.[key] ?? 0), 0)
+      metrics.gauge(MetricName.StepOpenMs, Math.max(0, ...modelSteps.map(({ startedAtMs }) => Math.round(nowMs - startedAtMs))), { model })
       for (const stage of Object.values(ItemStage)) metrics.gauge(MetricName.StepItems, sum(stage), { model, stage })
       for (const reason of Object.values(WaitReason)) metrics.gauge(MetricName.StepWaiting, sum(reason), { model, reason })
     }
--- a/tests/batches/assignmentRound.test.ts
+++ b/tests/batches/assignmentRound.test.ts
@@ -40,12 +40,12 @@
   const modelEngine = { slotsCount: SLOTS_COUNT, kvCapacityTokens: 60_000, tokensPerEvent: TOKENS_PER_EVENT, models: ['hints-model'] }
   const round = new AssignmentRound({
     nowMs: 0,
-    placeOf: () => ({ service: 'engines', modelEngine }),
+    placementOf: () => ({ service: 'engines', modelEngine }),
     enginesOf: () => {
       counts.engines++
       return engines
     },
-    patientSlotsOf: () => {
+    deferrableSlotsOf: () => {
       counts.patient++
       return 5
     }
--- a/tests/batches/batchReports.test.ts
+++ b/tests/batches/batchReports.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { setBatchGauges, reportForgotten, UnknownBatches } from '../../src/batches/batchReports.js'
+import { setBatchGauges, reportForgotten, UnknownBatchReporter } from '../../src/batches/batchReports.js'
 import { BatchEvent } from '../../src/batches/batchEvents.js'
 import { BatchService } from '../../src/batches/batchService.js'
 import { BatchState } from '../../src/batches/batchState.js'
@@ -16,13 +16,13 @@
 const KEEP_MS = 60_000
 const CALL_MS = 5_000
 
-interface Told {
+interface LogRecorder {
   logger: Logger
   events: Array<{ number: number, fields: LogFields }>
 }
 
-function recorder (): Told {
-  const events: Told['events'] = []
+function recorder (): LogRecorder {
+  const events: LogRecorder['events'] = []
   const logger: Logger = { event: (number, fields = {}) => { events.push({ number, fields }) }, child: () => logger }
   return { logger, events }
 }
@@ -53,7 +53,7 @@
   applyAll(state, [submit(submission('b4', ['i4']))], KEEP_MS + 1_001)
   applyAll(state, [submit(submission('b5', ['i5']))], KEEP_MS + 1_002)
   t.deepEqual(events, [{
-    number: BatchEvent.BatchForgotten,
+    number: BatchEvent.BatchExpired,
     fields: { batchId: 'b1', acceptedAtMs: 1_000, decidedAtMs: KEEP_MS + 1_001, keptMs: KEEP_MS, isEnded: true, listedCount: 0 }
   }])
 })
@@ -89,7 +89,7 @@
 test('should remember only so many batches that it told of', async t => {
   const world = await new StoreWorld({ engines: [] }).start()
   const { logger, events } = recorder()
-  const unknown = new UnknownBatches(world.replica, logger)
+  const unknown = new UnknownBatchReporter(world.replica, logger)
   for (let number = 0; number < 2_000; number++) unknown.report(`b${number}`, 'readResults')
   unknown.report('b1999', 'readResults')
   t.is(events.length, 2_000)
--- a/tests/batches/batchState.test.ts
+++ b/tests/batches/batchState.test.ts
@@ -91,7 +91,7 @@
   t.is(item && state.completedResult(item, 'trainers'), undefined)
   t.is(textOf(state.unfinishedParts('i1', 'learners')), 'a')
   t.is(item && textOf(state.completedResult(item, 'learners')?.parts ?? []), 'x')
-  t.is(state.get('b1')?.isOf('trainers'), false)
+  t.is(state.get('b1')?.isAccessibleBy('trainers'), false)
 })
 
 test('should hold accounts, what was kept in their names and orders for engines over a snapshot', t => {
--- a/tests/batches/itemOrder.test.ts
+++ b/tests/batches/itemOrder.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { EndpointHealth } from '../../src/endpoints/endpointHealth.js'
 import { Engine } from '../../src/batches/engineFleet.js'
-import { compareWaiting, expectedEventsCount, fastestEngine, movingGainMs, shouldWaitForFaster, type MovingRun, type WaitingItem } from '../../src/batches/itemOrder.js'
+import { compareWaiting, expectedEventsCount, fastestEngine, movingGainMs, shouldWaitForFaster, type RunEstimate, type WaitingItem } from '../../src/batches/itemOrder.js'
 import { engine } from '../fixtures/fleet/fleetFixtures.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
@@ -12,18 +12,18 @@
 const KNOWN_GAPS_COUNT = 4
 
 function waiting (changes: Partial<WaitingItem>): WaitingItem {
-  return { dueAtMs: 7_000, isBegun: false, isCarriedOver: false, remainingTokensCount: 100, priority: 0, ...changes }
+  return { dueAtMs: 7_000, isStarted: false, isCarriedOver: false, remainingTokensCount: 100, priority: 0, ...changes }
 }
 
-function made (madeCount: number, hintedCount: number, longestCount = 187): MovingRun {
-  return { madeCount, hintedCount, longestCount }
+function estimate (generatedCount: number, hintedRemainingCount: number, longestCount = 187): RunEstimate {
+  return { generatedCount, hintedRemainingCount, longestCount }
 }
 
 function paced (endpointId: string, gapMs?: number, ownClock = clock): Engine {
-  const made = new Engine(engine(endpointId, 1), new EndpointHealth({ clock: ownClock }), ownClock)
+  const result = new Engine(engine(endpointId, 1), new EndpointHealth({ clock: ownClock }), ownClock)
   const gapsMs = gapMs === undefined ? [] : Array.from({ length: KNOWN_GAPS_COUNT }, () => gapMs)
-  for (const seenMs of gapsMs) made.pace.sawGap(seenMs)
-  return made
+  for (const seenMs of gapsMs) result.pace.sawGap(seenMs)
+  return result
 }
 
 test('should let a long item of a later batch go before a short one of an earlier batch', t => {
@@ -39,7 +39,7 @@
 })
 
 test('should let what is begun, then what has returned, go before all else', t => {
-  const items = [waiting({ remainingTokensCount: 6_000 }), waiting({ isCarriedOver: true }), waiting({ isBegun: true })]
+  const items = [waiting({ remainingTokensCount: 6_000 }), waiting({ isCarriedOver: true }), waiting({ isStarted: true })]
   const [first, second] = [...items].sort((left, right) => compareWaiting(left, right, TOKEN_MS))
   t.is(first, items[2])
   t.is(second, items[1])
@@ -55,21 +55,21 @@
 })
 
 test('should move a run to an engine that is much faster, not to one that is a little', t => {
-  t.true(movingGainMs(paced('e1', 150), paced('e2', 40), made(10, 50)) > 0)
-  t.is(movingGainMs(paced('e1', 44), paced('e2', 40), made(10, 500)), 0)
+  t.true(movingGainMs(paced('e1', 150), paced('e2', 40), estimate(10, 50)) > 0)
+  t.is(movingGainMs(paced('e1', 44), paced('e2', 40), estimate(10, 500)), 0)
 })
 
 test('should not move a run that is nearly done, nor to an engine whose pace is not known', t => {
-  t.is(movingGainMs(paced('e1', 150), paced('e2', 40), made(2, 2)), 0)
-  t.is(movingGainMs(paced('e1', 150), paced('e2'), made(10, 50)), 0)
+  t.is(movingGainMs(paced('e1', 150), paced('e2', 40), estimate(2, 2)), 0)
+  t.is(movingGainMs(paced('e1', 150), paced('e2'), estimate(10, 50)), 0)
 })
 
 test('should expect a run that has made much to make more than its submitter thinks', t => {
   const slow = paced('e1', 55)
   const fast = paced('e2', 40)
-  t.is(movingGainMs(slow, fast, made(10, 0)), 0)
-  t.true(movingGainMs(slow, fast, made(60, 0)) > movingGainMs(slow, fast, made(40, 0)))
-  t.true(movingGainMs(slow, fast, made(40, 0)) > 0)
+  t.is(movingGainMs(slow, fast, estimate(10, 0)), 0)
+  t.true(movingGainMs(slow, fast, estimate(60, 0)) > movingGainMs(slow, fast, estimate(40, 0)))
+  t.true(movingGainMs(slow, fast, estimate(40, 0)) > 0)
 })
 
 test('should forget a pace that was not seen for a while', async t => {
@@ -80,13 +80,13 @@
 })
 
 test('should expect no more of a run than the longest sample that was seen', t => {
-  t.is(expectedEventsCount(made(175, 0)), 12)
-  t.is(expectedEventsCount(made(40, 0)), 30)
-  t.is(expectedEventsCount(made(200, 0)), 150, 'it is the longest itself')
+  t.is(expectedEventsCount(estimate(175, 0)), 12)
+  t.is(expectedEventsCount(estimate(40, 0)), 30)
+  t.is(expectedEventsCount(estimate(200, 0)), 150, 'it is the longest itself')
 })
 
 test('should not move a run between engines of one kind because one is full and the other empty', t => {
-  t.is(movingGainMs(paced('e1', 42), paced('e2', 37), made(60, 100)), 0)
+  t.is(movingGainMs(paced('e1', 42), paced('e2', 37), estimate(60, 100)), 0)
 })
 
 test('should let a long item wait for a fast engine, a short one begin on a slow one at once', t => {
--- a/tests/batches/runPlaces.test.ts
+++ b/tests/batches/runPlaces.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import type { Engine, EngineFleet } from '../../src/batches/engineFleet.js'
 import type { ItemRun } from '../../src/batches/itemRun.js'
-import { RunPlaces } from '../../src/batches/runPlaces.js'
+import { PlacementSelector } from '../../src/batches/runPlaces.js'
 import { seededRandom } from '../../src/utils/randomSource.js'
 import { submission } from '../fixtures/fleet/batchFixtures.js'
 import { batchRoute, routing, viewOf } from '../fixtures/fleet/fleetFixtures.js'
@@ -9,7 +9,7 @@
 const ITEMS_COUNT = 400
 
 interface World {
-  places: RunPlaces
+  places: PlacementSelector
   /** Services whose engines take work. */
   serving: Set<string>
 }
@@ -24,7 +24,7 @@
     }))
   }
   const engines = { ofService: (service: string) => (serving.has(service) ? [{} as Engine] : []) } as unknown as EngineFleet
-  return { places: new RunPlaces({ view: viewOf([], configuration), engines, random: seededRandom(3), routeOf: () => batchRoute({ services }) }), serving }
+  return { places: new PlacementSelector({ view: viewOf([], configuration), engines, random: seededRandom(3), routeOf: () => batchRoute({ services }) }), serving }
 }
 
 function runs (): ItemRun[] {
@@ -33,7 +33,7 @@
 }
 
 function countOf ({ places }: World, service: string, items = runs()): number {
-  return items.filter(run => places.of(run)?.service === service).length
+  return items.filter(run => places.placementOf(run)?.service === service).length
 }
 
 test('should share the items of a batch by the weights of its route', t => {
--- a/tests/batches/silenceWatch.test.ts
+++ b/tests/batches/silenceWatch.test.ts
@@ -1,18 +1,18 @@
 import test from 'ava'
 import { EnginePace } from '../../src/batches/enginePace.js'
-import { SilenceWatch } from '../../src/batches/silenceWatch.js'
+import { StallDetector } from '../../src/batches/silenceWatch.js'
 import { Scope } from '../../src/utils/scope.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
 const GAP_MS = 40
 
-async function paceAfter (isHeldUp: () => boolean): Promise<number | undefined> {
+async function paceAfter (isOverloaded: () => boolean): Promise<number | undefined> {
   const clock = new VirtualClock()
   const pace = new EnginePace(clock)
-  const watch = new SilenceWatch(clock, pace, new Scope('run'), isHeldUp)
+  const detector = new StallDetector(clock, pace, new Scope('run'), isOverloaded)
   for (let event = 0; event < 5; event++) {
     await clock.advance(GAP_MS)
-    watch.sawEvent()
+    detector.recordEvent()
   }
   return pace.presentGapMs
 }
--- a/tests/batches/slotSharing.test.ts
+++ b/tests/batches/slotSharing.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { patientUntilMs, slotsForPatient } from '../../src/batches/slotSharing.js'
+import { deferrableUntilMs, slotsForDeferrable } from '../../src/batches/slotSharing.js'
 
 /**
  * The load that these tests stand for: three trainers ask for steps of some
@@ -10,27 +10,27 @@
 const SLOTS_COUNT = 12
 
 test('should let a short item wait for seconds, and one that may be long not at all', t => {
-  t.true(patientUntilMs({ longestEndsAtMs: 7_100, remainingEventsCount: 10 }, GAP_MS) > 4_000)
-  t.true(patientUntilMs({ longestEndsAtMs: 7_100, remainingEventsCount: 80 }, GAP_MS) < 0)
+  t.true(deferrableUntilMs({ longestEndsAtMs: 7_100, remainingEventsCount: 10 }, GAP_MS) > 4_000)
+  t.true(deferrableUntilMs({ longestEndsAtMs: 7_100, remainingEventsCount: 80 }, GAP_MS) < 0)
 })
 
 test('should leave time for an item whose hint was short by half its length', t => {
-  const waitedMs = patientUntilMs({ longestEndsAtMs: 7_100, remainingEventsCount: 20 }, GAP_MS)
+  const waitedMs = deferrableUntilMs({ longestEndsAtMs: 7_100, remainingEventsCount: 20 }, GAP_MS)
   t.true(waitedMs + 40 * GAP_MS < 7_100)
 })
 
 test('should not let the short items of a step wait that has no long one', t => {
-  t.true(patientUntilMs({ longestEndsAtMs: 2_000, remainingEventsCount: 10 }, GAP_MS) < 0)
+  t.true(deferrableUntilMs({ longestEndsAtMs: 2_000, remainingEventsCount: 10 }, GAP_MS) < 0)
 })
 
 test('should give short items as many slots as all open work needs until the next steps, and no more', t => {
   const engines = { horizonMs: 4_000, enginesCount: 6, slotsCount: SLOTS_COUNT }
-  t.is(slotsForPatient({ ...engines, workMs: 200_000 }), 9)
-  t.is(slotsForPatient({ ...engines, workMs: 1_000_000 }), SLOTS_COUNT)
+  t.is(slotsForDeferrable({ ...engines, workMs: 200_000 }), 9)
+  t.is(slotsForDeferrable({ ...engines, workMs: 1_000_000 }), SLOTS_COUNT)
 })
 
 test('should not keep half of an engine empty to make the other half faster', t => {
-  t.is(slotsForPatient({ workMs: 100, horizonMs: 4_000, enginesCount: 6, slotsCount: SLOTS_COUNT }), 7)
-  t.is(slotsForPatient({ workMs: 100, horizonMs: 4_000, enginesCount: 6, slotsCount: 2 }), 2)
-  t.is(slotsForPatient({ workMs: 100, horizonMs: 4_000, enginesCount: 0, slotsCount: 1 }), 1)
+  t.is(slotsForDeferrable({ workMs: 100, horizonMs: 4_000, enginesCount: 6, slotsCount: SLOTS_COUNT }), 7)
+  t.is(slotsForDeferrable({ workMs: 100, horizonMs: 4_000, enginesCount: 6, slotsCount: 2 }), 2)
+  t.is(slotsForDeferrable({ workMs: 100, horizonMs: 4_000, enginesCount: 0, slotsCount: 1 }), 1)
 })
--- a/tests/batches/startPacing.test.ts
+++ b/tests/batches/startPacing.test.ts
@@ -35,15 +35,15 @@
   await clock.advance(TURN_MS)
   pacing.beginTurn()
   t.true(pacing.mayStart)
-  pacing.started()
+  pacing.recordStart()
   await clock.advance(TURN_MS + 100)
-  t.true(pacing.isHeldUp, 'the timer that is due has not come')
+  t.true(pacing.isOverloaded, 'the timer that is due has not come')
   t.is(pacing.beginTurn(), 100)
-  t.true(pacing.isHeldUp, 'it came late')
+  t.true(pacing.isOverloaded, 'it came late')
   t.false(pacing.mayStart)
   await clock.advance(TURN_MS)
   pacing.beginTurn()
-  t.false(pacing.isHeldUp)
+  t.false(pacing.isOverloaded)
   t.true(pacing.mayStart)
 })
 
@@ -54,9 +54,9 @@
   for (let passedMs = 0; passedMs < 2_000; passedMs += 100) {
     await clock.advance(100)
     pacing.beginTurn()
-    t.true(pacing.isHeldUp)
+    t.true(pacing.isOverloaded)
     if (!pacing.mayStart) continue
-    pacing.started()
+    pacing.recordStart()
     begunCount++
   }
   t.is(begunCount, 10)
@@ -67,7 +67,7 @@
   const pacing = new StartPacing(clock)
   let begunCount = 0
   while (pacing.mayStart) {
-    pacing.started()
+    pacing.recordStart()
     begunCount++
   }
   t.is(begunCount, MOST_IN_A_TURN_COUNT)
--- a/tests/batches/stepReports.test.ts
+++ b/tests/batches/stepReports.test.ts
@@ -18,11 +18,11 @@
   const ended = Batch.accepted(submission('b0', ['i0']), 0, 1)
   ended.end()
   const items: ReportedItem[] = [ItemStage.Queued, ItemStage.Queued, ItemStage.Running].map(stage => ({ batch, stage }))
-  const steps = [batch, ended].map(each => ({ batch: each, begunAtMs: 500, dueAtMs: 7_500 }))
+  const steps = [batch, ended].map(each => ({ batch: each, startedAtMs: 500, dueAtMs: 7_500 }))
   const reports = new StepReports({ clock, logger, metrics, steps: () => steps, items: () => items, waitReasonOf: () => WaitReason.NoVersion })
   reports.report()
   t.is(lines.length, 1)
-  t.like(lines[0], { event: BatchEvent.StepWaits, batchId: 'b1', openForMs: 1_500, dueInMs: 5_500, queued: 2, running: 1, no_version: 2 })
+  t.like(lines[0], { event: BatchEvent.StepWaiting, batchId: 'b1', openForMs: 1_500, dueInMs: 5_500, queued: 2, running: 1, no_version: 2 })
   const gaugeOf = (name: MetricName, ...tags: string[]): number | undefined => Object.entries(metrics.snapshot()).find(([key]) => key.startsWith(`${name}{`) && tags.every(tag => key.includes(tag)))?.[1]
   t.is(gaugeOf(MetricName.StepWaiting, 'no_version'), 2)
   batch.end()
