--- a/src/batches/assignmentRound.ts
+++ b/src/batches/assignmentRound.ts
@@ -1,9 +1,9 @@
 /**
- * One look at all that waits: which engines may run each item is worked out once
- * for all items of a batch, and each engine's pace and soundness are read once.
- * Without that, four trainers with 500 items before 31 engines kept the leader
- * of the store busy for longer than its heartbeats may fail, and it lost its
- * leadership at every step.
+ * One pass over all waiting items. The engines that may run an item are computed
+ * once per batch, and the pace and health of each engine are read once per batch.
+ * Without this sharing, 500 items of four trainers and 31 engines blocked the
+ * event loop of the store leader for longer than the heartbeat timeout, so that
+ * it lost its leadership at every step.
  */
 import type { ModelEngine } from '../protocol/routing.js'
 import type { Batch } from './batch.js'
@@ -12,15 +12,15 @@
 import type { ItemRun } from './itemRun.js'
 import { deferrableUntilMs } from './slotSharing.js'
 
-/** Where the items of a run's batch may go. */
+/** The service at which an item runs. */
 export interface Placement {
   service: string
   modelEngine: ModelEngine | undefined
 }
 
-/** An engine with weights that fit, at the moment of the round. */
+/** An engine whose weights are new enough, with its load at the start of the round. */
 interface Candidate extends EngineLoad {
-  /** Runs up to which another one may begin. */
+  /** Another run may start while the engine has fewer runs than this. */
   maxRunsCount: number
 }
 
@@ -28,21 +28,21 @@
   nowMs: number
   placementOf: (run: ItemRun) => Placement | undefined
   enginesOf: (service: string) => Engine[]
-  /** Slots of an engine up to which items begin that can wait. */
+  /** Runs of an engine up to which deferrable items may start there. */
   deferrableSlotsOf: (service: string, engines: Engine[]) => number
 }
 
-/** What is the same for all items of a batch. */
+/** The engines that items of a batch may use at one service; shared by all items of the batch without restrictions of their own. */
 interface CandidateSet {
   placement: Placement
   candidates: Candidate[]
-  /** No engine has room for an item; slots are only taken during a round, so this stays. */
+  /** No engine has a free slot. Slots are only taken during a round, so this never changes back. */
   isFull: boolean
-  /** The same for items that can wait. */
+  /** No engine has a slot that a deferrable item may take. */
   isFullForDeferrable: boolean
-  /** The best candidates by the runs up to which an engine counts, as long as no slot was taken since. */
+  /** The cheapest candidate by run limit; cleared after a slot is assigned. */
   cheapest: Map<number | undefined, Candidate | undefined>
-  /** Slots that this round had given when they were compared. */
+  /** Value of the round's `_assignedCount` when `cheapest` was last filled. */
   assignedCountAtComparison: number
 }
 
@@ -51,7 +51,7 @@
   /** By batch and service. */
   private readonly _candidateSets = new Map<Batch, Map<string, CandidateSet>>()
   private readonly _deferrableSlots = new Map<string, number>()
-  /** Slots that were given; the engines compare as they did until the next one is. */
+  /** Slots assigned in this round; the order of the engines can only change when it grows. */
   private _assignedCount = 0
 
   constructor (options: AssignmentRoundOptions) {
@@ -59,8 +59,8 @@
   }
 
   /**
-   * The engine to begin at now; undefined when none has room, or when one that is
-   * worth waiting for will have. The slot has to be taken before the next call.
+   * The engine on which to start the run now; undefined when none has a free slot, or
+   * when it is better to wait for a faster one. The caller takes the slot before the next call.
    */
   engineFor (run: ItemRun, waitedMs: number): Engine | undefined {
     const engine = this._choose(run, waitedMs)
@@ -85,7 +85,7 @@
     return shouldWaitForFaster({ freeGapMs: free.gapMs, fullGapMs: best.gapMs, remainingEventsCount, waitedMs }) ? undefined : free.engine
   }
 
-  /** For an item that may not go wherever the rest of its batch may. */
+  /** Candidates for an item with restrictions of its own; engines at which it has failed only count when there is no other. */
   private _restrictedCandidatesFor (run: ItemRun): CandidateSet | undefined {
     const shared = this._candidatesFor(run)
     if (!shared) return undefined
@@ -109,7 +109,7 @@
     return candidateSet
   }
 
-  /** Compares the engines only after a slot was taken: hundreds of items may wait for a faster engine than the one that is free. */
+  /** Compares the engines again only after a slot was taken, since hundreds of items may wait for a faster engine than the free one. */
   private _cheapest (candidateSet: CandidateSet, maxRunsCount: number | undefined): Candidate | undefined {
     if (candidateSet.assignedCountAtComparison !== this._assignedCount) {
       candidateSet.cheapest.clear()
@@ -147,18 +147,18 @@
 
 function candidateOf (engine: Engine, placement: Placement): Candidate {
   const load = loadOf(engine, ASSUMED_TOKEN_MS * tokensPerEvent(placement), placement.modelEngine?.kvCapacityTokens ?? Number.POSITIVE_INFINITY)
-  // One run alone where it has yet to show that slowness has passed.
+  // An engine that may still be slow gets a single run as a probe.
   return { ...load, maxRunsCount: load.isUncertain ? 1 : engine.endpoint.slotsCount }
 }
 
-/** @param maxRunsCount runs up to which an engine counts; undefined counts full ones too */
+/** @param maxRunsCount considers engines with fewer runs than this; undefined also considers full engines */
 function cheapest (candidates: readonly Candidate[], maxRunsCount: number | undefined): Candidate | undefined {
   let best: Candidate | undefined
   let lowestCostMs = Number.POSITIVE_INFINITY
   for (const candidate of candidates) {
     const { engine } = candidate
     if (maxRunsCount !== undefined && engine.runningCount >= Math.min(maxRunsCount, candidate.maxRunsCount)) continue
-    // One that is on trial takes a run at a time, and may have got it in this round.
+    // A probing engine accepts one run at a time and may have got it earlier in this round.
     if (candidate.isUncertain && !engine.health.isOpen) continue
     const costMs = eventCostMs(candidate)
     if (costMs >= lowestCostMs) continue
--- a/src/batches/batch.ts
+++ b/src/batches/batch.ts
@@ -1,39 +1,39 @@
 /**
- * A batch as the batch store holds it: what was submitted of it as a whole, its
- * items until they are listed, and its results. What nobody can ask for any
- * more is not held: of a listed item only its result and the id of its reward
- * call, of an ended batch only what it listed.
+ * A batch in the state of the batch store: the submission without its items, the
+ * open items and the results. Data that can no longer be requested is dropped: a
+ * listed item keeps only its result and the id of its reward call, an ended batch
+ * keeps only its results.
  */
 import { ResultState, type BatchItem, type BatchSubmission, type ItemResult } from '../protocol/batches.js'
 import { heldBytesOfHead, heldBytesOfItem, heldBytesOfResult } from './heldBytes.js'
 
-/** A batch that nobody ends is kept open no longer than this beyond its time. */
+/** A batch that its submitter never ends expires after this many times its retention time. */
 const MAX_OPEN_FACTOR = 2
 
-/** What was submitted, with the number of the items in their stead. */
+/** A submission with the number of its items in place of the items. */
 export interface SubmissionHead extends Omit<BatchSubmission, 'items'> {
   itemsCount: number
 }
 
-/** All of a batch as plain values. Its arrays are never changed; what they hold is replaced, never changed. */
+/** Plain data of a batch, as stored in snapshots. Neither its arrays nor their elements are mutated. */
 export interface BatchRecord {
   submission: SubmissionHead
-  /** The leader's wall clock when it took the batch. */
+  /** Wall clock of the leader when it accepted the batch. */
   acceptedAtMs: number
   keepMs: number
   isEnded: boolean
   /** In the order of the submission. */
   openItems: BatchItem[]
   results: ItemResult[]
-  /** Reward call of each result. */
+  /** Id of the reward call of each result. */
   rewardIds: (string | undefined)[]
-  /** Tokens that the submitter expected of what has completed. */
+  /** Sum of the tokens that the submitter expected of the completed items. */
   completedTokensCount: number
 }
 
 export class Batch {
   readonly submission: SubmissionHead
-  /** The leader's wall clock when it took the batch. */
+  /** Wall clock of the leader when it accepted the batch. */
   readonly acceptedAtMs: number
   private readonly _keepMs: number
   private readonly _openItems: Map<string, BatchItem>
@@ -68,7 +68,7 @@
     return this.submission.batchId
   }
 
-  /** Whether a client account may ask for it; one of no account is anybody's. */
+  /** Whether a client account may access the batch; a batch without an account is accessible to all. */
   isAccessibleBy (account: string | undefined): boolean {
     return this.submission.account === undefined || this.submission.account === account
   }
@@ -81,17 +81,17 @@
     return this._isEnded
   }
 
-  /** Bytes that it is counted for. */
+  /** Estimated memory of the batch in bytes. */
   get heldBytes (): number {
     return heldBytesOfHead(this.submission) + this._itemsBytes + this._resultsBytes
   }
 
-  /** Bytes that its results are counted for. */
+  /** Estimated memory of its results in bytes. */
   get resultsBytes (): number {
     return this._resultsBytes
   }
 
-  /** Tokens that the submitter expected of what has completed. */
+  /** Sum of the tokens that the submitter expected of the completed items. */
   get completedTokensCount (): number {
     return this._completedTokensCount
   }
@@ -100,7 +100,7 @@
     return this._listed.has(itemId)
   }
 
-  /** An item that is not listed yet, and of a batch that has not ended. */
+  /** An item without a listed result; undefined once the batch has ended. */
   openItem (itemId: string): BatchItem | undefined {
     return this._openItems.get(itemId)
   }
@@ -109,12 +109,12 @@
     return [...this._openItems.values()]
   }
 
-  /** The reward call of the result at a position. */
+  /** Id of the reward call of the result at a position. */
   rewardIdAt (position: number): string | undefined {
     return this._rewardIds[position]
   }
 
-  /** Lists a result; its position, or undefined if the item is listed already, or is not one of the batch. */
+  /** Appends a result and returns its position; undefined if the item is listed already or does not belong to the batch. */
   list (result: ItemResult): number | undefined {
     const item = this._openItems.get(result.itemId)
     if (!item) return undefined
@@ -128,7 +128,7 @@
     return this._results.push(result) - 1
   }
 
-  /** Takes a result back from a snapshot; its position. */
+  /** Appends a result read from a snapshot and returns its position. */
   restore (result: ItemResult, rewardId: string | undefined): number {
     this._listed.add(result.itemId)
     this._resultsBytes += heldBytesOfResult(result, rewardId)
@@ -142,7 +142,7 @@
     this._itemsBytes = 0
   }
 
-  /** For how long after its acceptance it is held. */
+  /** Retention time, counted from the acceptance. */
   get keptMs (): number {
     return this._isEnded ? this._keepMs : MAX_OPEN_FACTOR * this._keepMs
   }
@@ -151,7 +151,7 @@
     return atMs - this.acceptedAtMs > this.keptMs
   }
 
-  /** The batch as it is now: nothing that happens to it later changes the record. */
+  /** A copy of the present state, which later changes to the batch do not affect. */
   record (): BatchRecord {
     return {
       submission: this.submission,
@@ -167,9 +167,9 @@
 }
 
 /**
- * The item with bytes of its own: views into the command that brought it would
- * keep all bodies of its batch until the last item is listed (25 MB instead of
- * 1 MB for a hundred batches of 190 items with one open each, one run).
+ * Copies the bodies of an item. Views into the submit command would keep all bodies
+ * of the batch in memory until its last item is listed: 25 MB instead of 1 MB for a
+ * hundred batches of 190 items with one open item each.
  */
 function withCopiedBodies ({ reward, ...item }: BatchItem): BatchItem {
   const copy = { ...item, body: Uint8Array.from(item.body) }
--- a/src/batches/batchClient.ts
+++ b/src/batches/batchClient.ts
@@ -1,7 +1,7 @@
 /**
- * The batch store as an entry host sees it: changes go to its leader, which is
- * looked up in the fleet and in the answers of replicas that do not lead;
- * reads go to a replica close by first.
+ * Client of the batch store for entry hosts. Changes go to the leader, which is
+ * found in the fleet view and in the replies of replicas that do not lead. Reads
+ * go to a nearby replica first.
  */
 import type { FleetView } from '../fleet/fleetView.js'
 import { HostRole } from '../protocol/fleet.js'
@@ -17,25 +17,25 @@
 import type { Progress } from '../utils/progress.js'
 import type { Scope } from '../utils/scope.js'
 
-/** Pause before the leader is looked for again. */
+/** Pause before the next attempt to reach the leader. */
 const RETRY_PAUSE_MS = 50
-/** A leader that has not answered within this time may be cut off: look whether there is another. */
+/** A leader that has not answered within this time may be partitioned; another replica is tried. */
 const ATTEMPT_TIMEOUT_MS = 700
-/** A read takes two short hops and no disk; a replica that needs longer is down, cut off or behind. */
+/** A read takes two short network hops and no disk access; a replica that needs longer is down, partitioned or lagging. */
 const READ_TIMEOUT_MS = 300
-/** A read that waits for results is held at a replica no longer than this at once. */
+/** Longest time that one call waits for results at a replica. */
 const MAX_POLL_MS = 300
-/** A replica that did not answer a read is left out this long: as long as control hosts need to notice that it is silent. */
+/** How long a replica that did not answer a read is not used: the time that control hosts need to detect that it is unreachable. */
 const SUSPECT_DURATION_MS = 2_000
 
-/** A batch as it is asked for. */
+/** Identifies a batch in a request. */
 export interface AskedBatch {
   batchId: string
-  /** The client account in whose name; undefined for none. */
+  /** The client account that sends the request; undefined for none. */
   account?: string | undefined
 }
 
-/** Answered by replicas; resolved here and never passed on. */
+/** Reply of a replica that does not lead; handled in this client and never returned to its callers. */
 export interface NotLeader {
   kind: 'notLeader'
   leaderAddress?: string | undefined
@@ -48,9 +48,9 @@
 
 type LeaderOutcome<Reply> =
   | { kind: 'answered', reply: Exclude<Reply, NotLeader> }
-  /** Nothing came of any call. */
+  /** No call took effect. */
   | { kind: 'refused', reason: string, isFinal?: boolean }
-  /** A call was lost, or its effect is not known: it may still take effect. */
+  /** A call was lost or its result is unknown; it may still take effect. */
   | { kind: 'lost', reason: string }
 
 export class BatchClient {
@@ -60,7 +60,7 @@
   private _leaderHint: string | undefined
   private _nextReplica = 0
   private _nextReader = 0
-  /** Replicas close by that did not answer a read. */
+  /** When each replica that did not answer a read is used again, by address. */
   private readonly _suspectUntilMs = new Map<string, number>()
 
   constructor (view: FleetView, dataCentre: string, transport: Transport, scope: Scope, onFatal: (error: unknown) => void) {
@@ -69,7 +69,7 @@
     this._links = new PeerLinks(transport, scope, onFatal)
   }
 
-  /** Submitting twice takes a batch once, so a lost call is repeated. */
+  /** Submitting is idempotent, so lost calls are repeated. */
   async submit (submission: BatchSubmission, progress: Progress): Promise<SubmitBatchReply> {
     const outcome = await this._callLeader<{ submission: BatchSubmission }, SubmitBatchReply>(submitBatchMethod, { submission }, progress, ATTEMPT_TIMEOUT_MS)
     switch (outcome.kind) {
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Waits in short pieces, so that a replica which dies meanwhile is left for another one soon. */
+  /** Waits for results in short polls, so that a replica that dies meanwhile is soon replaced by another one. */
   async readResults ({ batchId, account }: AskedBatch, fromPosition: number, waitMs: number, progress: Progress): Promise<Exclude<ReadResultsReply, NotLeader>> {
     const { clock } = progress
     const waitUntilMs = clock.nowMs() + waitMs
@@ -114,7 +114,7 @@
     return unavailableFor(outcome)
   }
 
-  /** What a replica close by answers; undefined when it cannot, and the leader has to be asked. */
+  /** Reply of a nearby replica; undefined when none can answer and the leader has to be called. */
   private async _callNearby<Request, Reply extends { kind: string }> (
     method: RpcMethod<Request, Reply>, body: Request, progress: Progress, attemptTimeoutMs: number
   ): Promise<Exclude<Reply, NotLeader> | undefined> {
@@ -130,7 +130,7 @@
     return outcome.body as Exclude<Reply, NotLeader>
   }
 
-  /** Asks the leader, and again wherever it may be, until a reply is final. */
+  /** Calls the leader, and repeats the call at other replicas, until a reply is final or the time is over. */
   private async _callLeader<Request, Reply extends { kind: string }> (
     method: RpcMethod<Request, Reply>, body: Request, progress: Progress, attemptTimeoutMs: number
   ): Promise<LeaderOutcome<Reply>> {
@@ -142,7 +142,7 @@
         : await this._callAddress(address, method, body, progress.before(progress.clock.nowMs() + attemptTimeoutMs))
       const outcome = callOutcome && interpretOutcome(callOutcome)
       if (outcome?.kind === 'answered') return outcome
-      // Once a call was lost, no later refusal can promise that nothing runs.
+      // After a lost call, a later refusal does not prove that nothing took effect.
       if (outcome && last.kind !== 'lost') last = outcome
       if (outcome?.kind === 'refused' && outcome.isFinal === true) return last
       await sleepUntil(progress.clock, progress.scope, Math.min(progress.deadlineMs, progress.clock.nowMs() + RETRY_PAUSE_MS))
@@ -160,8 +160,8 @@
   }
 
   /**
-   * A replica that holds the store, in this data centre if there is one there,
-   * and others in turn, so that readers do not all go to one host.
+   * Address of a member of the store, preferably in this data centre. Members are used
+   * in turn, so that reads do not all go to one host.
    */
   private _readerAddress (nowMs: number): string | undefined {
     const memberIds = this._view.storeLeader()?.store?.memberIds
@@ -175,7 +175,7 @@
     return readers[this._nextReader++ % Math.max(1, readers.length)]?.address
   }
 
-  /** A replica that answered last, the leader that control hosts know, or any replica in turn. */
+  /** The replica that last replied as leader or the one that it named; otherwise alternates between the leader that control hosts report and each replica in turn. */
   private _leaderAddress (): string | undefined {
     if (this._leaderHint !== undefined) return this._leaderHint
     const knownLeader = this._view.storeLeader()?.store?.peerAddress
@@ -189,7 +189,7 @@
   return { kind: 'unavailable', reason }
 }
 
-/** Undefined for what says nothing of the call: the host does not lead, or was not reached. */
+/** Undefined when the call had no effect at all: the host does not lead or was not reached. */
 function interpretOutcome<Reply extends { kind: string }> (outcome: CallOutcome<Reply>): LeaderOutcome<Reply> | undefined {
   if (outcome.kind === 'lost') return outcome
   if (outcome.kind === 'unserved' || isNotLeader(outcome.body)) return undefined
--- a/src/batches/batchDispatcher.ts
+++ b/src/batches/batchDispatcher.ts
@@ -32,11 +32,11 @@
 import { SlotAssignment } from './slotAssignment.js'
 import { StepReports, type ReportedStep } from './stepReports.js'
 
-/** Output of items whose batch ended early, kept for their return in a later one. */
+/** Outputs of unfinished items of ended batches that are kept for a later batch with the same items. */
 const MAX_CARRIED_OVER_OUTPUTS_COUNT = 2_000
-/** One line about being held up says enough for so long. */
+/** Shortest time between two log lines about overload. */
 const OVERLOAD_LOG_INTERVAL_MS = 1_000
-/** Steps of a model that are open at a time: the earlier one keeps its long samples. */
+/** Steps of a model that are open at the same time: the earlier one still waits for its long samples. */
 const STEPS_OPEN_COUNT = 2
 
 export interface BatchDispatcherOptions {
@@ -51,7 +51,7 @@
   view: FleetView
   replica: Replica
   state: BatchState
-  /** For how long each batch is accepted already. */
+  /** Records when this replica received each batch. */
   ages: BatchAges
   supervisor: Supervisor
 }
@@ -84,29 +84,29 @@
     this._reports = new StepReports({ clock, logger, metrics, steps: () => [...this._tracked.values()], items: () => this._runs, waitReasonOf: run => this._slots.waitReasonOf(run) })
   }
 
-  /** Open batches that this host runs. */
+  /** The open batches that this host runs. */
   batches (): Batch[] {
     return [...this._tracked.values()].map(({ batch }) => batch)
   }
 
-  /** The oldest version that a model's engines need for what is open. */
+  /** The lowest version that the engines of a model need for all its open batches; 0 without any. */
   neededVersion (model: string): number {
     const versions = this.batches().filter(({ submission }) => submission.model === model).map(({ submission }) => submission.minVersion)
     return Math.max(0, ...versions)
   }
 
-  /** The most urgent of a model's open batches; undefined without any. */
+  /** Priority of the most urgent open batch of a model; undefined without any. */
   priorityOf (model: string): number | undefined {
     const priorities = this.batches().filter(({ submission }) => submission.model === model).map(({ submission }) => submission.priority ?? 0)
     return priorities.length === 0 ? undefined : Math.min(...priorities)
   }
 
-  /** Items of a model that wait for an engine. */
+  /** Number of items of a model that wait for a slot. */
   waitingCount (model: string): number {
     return this._slots.waitingCount(model)
   }
 
-  /** What the steps of a service's models ask for; every model's is known, or none. */
+  /** Demand of the steps of a service's models; `itemsCount` is undefined until a step of each model was seen. */
   supplyNeedOf ({ engine }: RoutingService): SupplyNeed {
     const counts = engine?.models.map(model => this.demand.stepItemsCount(model)) ?? []
     const isKnown = counts.every(count => count !== undefined)
@@ -114,7 +114,7 @@
     return { itemsCount, slotsCount: engine?.slotsCount ?? 1 }
   }
 
-  /** Follows the list of batches until the scope closes. */
+  /** Starts and stops items as batches are submitted and end, until the scope closes. */
   async run (scope: Scope): Promise<void> {
     const { clock, replica, view } = this._options
     this._options.logger.event(BatchEvent.DispatchStarted, { term: replica.core.term, openBatchesCount: this._options.state.open().length })
@@ -132,12 +132,12 @@
     }
   }
 
-  /** Puts all output that only this host holds into the replicated state, for whoever leads next. */
+  /** Writes all output that only this host holds to the replicated state, so that the next leader can continue from it. */
   async keepOutputs (progress: Progress): Promise<void> {
     await progress.race(Promise.all([...this._runs].map(run => run.replicateOutput(progress))))
   }
 
-  /** An engine has changed: somebody may get a slot. */
+  /** Called when an engine has changed; assigns slots that have become free. */
   enginesChanged (): void {
     this._slots.assign()
   }
@@ -164,11 +164,11 @@
       supervisor.scope.close('the batch has ended')
       this._tracked.delete(batchId)
     }
-    // Without a routing configuration, nothing tells when an item may be given up; a host that has just started gets one within seconds.
+    // The routing configuration defines when items may be abandoned. A host that has just started receives it within seconds.
     if (!view.routing) return
     const added = state.open().filter(batch => !this._tracked.has(batch.batchId))
     if (added.length === 0) return
-    // What has made most and what is longest is to begin first, of whatever batch.
+    // Slots are assigned only after all items were added, so that started and long items of any batch get theirs first.
     this._slots.assignAfter(() => {
       for (const batch of added) this._startBatch(batch)
     })
@@ -229,7 +229,7 @@
     })
   }
 
-  /** A result of an earlier batch that fits this one as it is. */
+  /** The completed result of the same item in an earlier batch, if its versions are new enough for this batch. */
   private _completedResultOf (batch: Batch, item: BatchItem): ItemResult | undefined {
     const completed = this._options.state.completedResult(item, batch.submission.account)
     if (!completed) return undefined
--- a/src/batches/batchReports.ts
+++ b/src/batches/batchReports.ts
@@ -1,6 +1,6 @@
 /**
- * What the batch store tells of the batches it holds: gauges, and a line for
- * each batch that was forgotten or that is asked for in vain.
+ * Reports on the batches that the batch store holds: gauges, and a log line for
+ * each batch that expired or that was requested and is unknown.
  */
 import { LRUCache } from 'lru-cache'
 import type { Replica } from '../replication/log/replica.js'
@@ -11,22 +11,22 @@
 import type { Batch } from './batch.js'
 import type { BatchState } from './batchState.js'
 
-/** Whoever asks in vain asks again, many times a second; so many batches are told once. Far more than are open at once. */
+/** Unknown batches that are remembered as reported: far more than are open at once. Clients repeat a failed request many times a second. */
 const MAX_REPORTED_COUNT = 1_024
 
-/** Sets the gauges of what this replica holds. */
+/** Sets the gauges for the batches and unfinished outputs of this replica. */
 export function setBatchGauges (state: BatchState, metrics: Metrics): void {
   metrics.gauge(MetricName.BatchesOpen, state.open().length)
   metrics.gauge(MetricName.BatchesHeld, state.heldCount)
   metrics.gauge(MetricName.OutputsUnfinished, state.unfinishedCount)
 }
 
-/** Tells of a batch whose time is over, with what decided it. */
+/** Logs the removal of an expired batch together with the times that decided it. */
 export function reportForgotten (logger: Logger, { batchId, acceptedAtMs, keptMs, isEnded, results }: Batch, decidedAtMs: number): void {
   logger.event(BatchEvent.BatchExpired, { batchId, acceptedAtMs, decidedAtMs, keptMs, isEnded, listedCount: results.length })
 }
 
-/** Tells once of each batch that was asked for and is not held here. */
+/** Logs each batch once that was requested and is not held by this replica. */
 export class UnknownBatchReporter {
   private readonly _replica: Replica
   private readonly _logger: Logger
--- a/src/batches/batchService.ts
+++ b/src/batches/batchService.ts
@@ -1,8 +1,8 @@
 /**
- * What entry hosts ask of the batch store. Its leader takes changes; every
- * replica answers reads, once the leader has confirmed how far the log was
- * committed when the read began. Results then leave the data centre once, by
- * replication, however often they are read.
+ * The calls of the batch store for entry hosts. The leader accepts changes. Every
+ * replica answers reads after the leader has confirmed the index up to which the
+ * log was committed when the read began. Results therefore cross data centres once,
+ * by replication, however often they are read.
  */
 import { BatchCommandKind, type BatchCommandResult, type BatchSubmission, type ItemResult } from '../protocol/batches.js'
 import type { NamedWeights } from '../protocol/routingCommands.js'
@@ -24,11 +24,11 @@
 import { textLengthBytes } from './outputParts.js'
 import { StoreCapacity } from './storeCapacity.js'
 
-/** Results of one read, by the bytes of their texts, so that a page stays under a megabyte with all its fields. */
+/** Limit for the text bytes of one page of results, so that the page with all its fields stays under a megabyte. */
 const MAX_RESULT_BYTES = 900_000
-/** Bounds what a caller may ask a handler to wait. */
+/** Upper bound for the time that a handler waits on behalf of a caller. */
 const MAX_WAIT_MS = 10_000
-/** A read that waits for results ends this much before its caller gives up. */
+/** A read that waits for results ends this long before the deadline of its caller. */
 const WAIT_MARGIN_MS = 100
 
 export interface BatchServiceOptions {
@@ -37,9 +37,9 @@
   clock: Clock
   logger: Logger
   scope: Scope
-  /** How long results can be read after their batch was accepted. */
+  /** Time for which results can be read, counted from the acceptance of their batch. */
   keepMs: number
-  /** Bytes that the state may be counted for; none: no submission is refused for want of room. */
+  /** Limit for the estimated memory of the state; without it, no submission is refused for lack of space. */
   stateCapacityBytes?: number | undefined
 }
 
@@ -77,7 +77,7 @@
     const outcome = await replica.propose({ kind: BatchCommandKind.Submit, submission, keepMs }, progress)
     if (outcome.kind !== 'unknown') this._capacity.settle(batchId)
     if (outcome.kind === 'committed') {
-      if ((outcome.result as BatchCommandResult).kind === 'foreign') return { kind: 'refused', reason: 'the id of the batch is taken', isFinal: true }
+      if ((outcome.result as BatchCommandResult).kind === 'foreign') return { kind: 'refused', reason: 'the batch id is already in use', isFinal: true }
       logger.event(BatchEvent.BatchAccepted, { batchId, step, model, minVersion, itemsCount: items.length, index: outcome.index })
       return { kind: 'accepted' }
     }
@@ -93,7 +93,7 @@
     for (;;) {
       const batch = this._batchOf(reference)
       if (!batch) return this._unknownBatch(reference.batchId, 'readResults')
-      // The list only grows, so what is here after the confirmation is never out of date.
+      // The list only grows, so the state cannot become stale after the confirmation.
       if (batch.results.length > fromPosition || batch.isEnded || waiting.isOver()) return pageOf(batch, fromPosition)
       await replica.applied.wait(progress.scope, waiting)
     }
@@ -137,13 +137,13 @@
     }
   }
 
-  /** What keeps this host from answering; undefined when its state is current. */
+  /** Waits until the state of this replica is current; returns the reply to send when that fails. */
   private async _confirmCurrent (progress: Progress): Promise<NotLeader | { kind: 'unavailable', reason: string } | undefined> {
     const { replica } = this._options
     const reply = replica.leadership ? await this._readIndex(progress) : await this._requestReadIndex(progress)
     if (reply.kind !== 'confirmed') return reply
     const applied = await progress.race(replica.whenApplied(reply.index))
-    return applied.kind === 'done' ? undefined : { kind: 'unavailable', reason: 'this replica has not caught up in time' }
+    return applied.kind === 'done' ? undefined : { kind: 'unavailable', reason: 'this replica did not catch up with the leader in time' }
   }
 
   private async _requestReadIndex (progress: Progress): Promise<BatchReadIndexReply> {
@@ -154,7 +154,7 @@
     return outcome.kind === 'replied' ? outcome.body : { kind: 'unavailable', reason: `the leader did not answer: ${outcome.reason}` }
   }
 
-  /** The batch asked for; undefined when there is none, or none that the account may know of. */
+  /** The referenced batch; undefined when it does not exist or the account may not access it. */
   private _batchOf ({ batchId, account }: AskedBatch): Batch | undefined {
     const batch = this._options.state.get(batchId)
     return batch?.isAccessibleBy(account) === true ? batch : undefined
@@ -175,7 +175,7 @@
   }
 }
 
-/** Results from a position on; one at least if there is one. */
+/** A page of results from a position on, with at least one result if there is any. */
 function pageOf (batch: Batch, fromPosition: number): ReadResultsReply {
   const results: ItemResult[] = []
   let lengthBytes = 0
--- a/src/batches/batchState.ts
+++ b/src/batches/batchState.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated state of the batch store: batches with their items, and their
- * lists of results. A result's position and content never change.
+ * The replicated state of the batch store: batches with their items and lists of
+ * results. The position and content of a result never change.
  */
 import {
   BatchCommandKind, ResultState, type BatchCommand, type BatchCommandResult, type BatchItem, type BatchSubmission, type ItemResult, type OutputPart
@@ -13,7 +13,7 @@
 import { heldBytesOfUnfinished } from './heldBytes.js'
 import { eventsCountOf } from './outputParts.js'
 
-/** What an item is known by over its batches: ids are an account's own. */
+/** Key of an item across batches; item ids are unique within a client account only. */
 export function itemKeyOf (account: string | undefined, itemId: string): string {
   return account === undefined ? itemId : `${account} ${itemId}`
 }
@@ -23,9 +23,9 @@
   rewardId: string | undefined
 }
 
-/** What a snapshot is made of; a batch comes before its results, and these in their order. */
+/** One piece of a snapshot. A batch precedes its results, which follow in order. */
 type SnapshotPiece =
-  /** Without its results. */
+  /** The batch without its results. */
   | { kind: 'batch', record: BatchRecord }
   | { kind: 'results', batchId: string, fromPosition: number, results: ItemResult[], rewardIds: (string | undefined)[] }
   | { kind: 'unfinished', outputs: UnfinishedOutput[] }
@@ -33,56 +33,56 @@
   | { kind: 'weights', weights: NamedWeights[] }
   | { kind: 'supply', supply: SupplySnapshot }
 
-/** Results or outputs in one piece of a snapshot: at some kilobytes each, half a megabyte at most. */
+/** Results or outputs in one piece of a snapshot: at a few kilobytes each, half a megabyte at most. */
 const PIECE_ITEMS_COUNT = 64
 
-/** The latest order to an engine that a leader announced. */
+/** The latest order to load weights that a leader announced for an engine. */
 interface AnnouncedOrder {
   endpointId: string
   holder: string
   lanesCount?: number | undefined
 }
 
-/** Engines whose latest order is remembered: many times those of any deployment. */
+/** Engines whose latest order is kept: many times the engines of any deployment. */
 const MAX_ORDERS_COUNT = 4_096
 
-/** What is kept of an item that is not listed yet; a later leader goes on behind it. */
+/** Stored output of an item that is not listed yet; a later leader continues from it. */
 interface UnfinishedOutput {
   itemId: string
-  /** Absent for none. */
+  /** The client account; absent for none. */
   account?: string | undefined
   parts: OutputPart[]
   keptAtMs: number
 }
 
-/** Output that nobody finished for so long is forgotten. */
+/** Unfinished output that has not grown for this long is removed. */
 const UNFINISHED_RETENTION_MS = 30_000
 
-/** Told of what this replica learns, in a snapshot too. */
+/** Notified of changes to the state of this replica, also when they come from a snapshot. */
 export interface BatchStateListener {
-  /** A leader announced an order. */
+  /** A leader announced an order to load weights. */
   onOrder: (endpointId: string, holder: string, lanesCount: number | undefined) => void
   /** A trainer named a version. */
   onNamed: (weights: NamedWeights) => void
-  /** A batch is held from now on. */
+  /** A batch was added. */
   onTaken?: (batch: Batch) => void
-  /** The time of a batch is over; the clock is that of the entry that decided. */
+  /** A batch expired; `decidedAtMs` is the time of the log entry that removed it. */
   onForgotten?: (batch: Batch, decidedAtMs: number) => void
 }
 
 const noListener: BatchStateListener = { onOrder: () => {}, onNamed: () => {} }
 
 export class BatchState implements ReplicatedState<BatchCommand, BatchCommandResult> {
-  /** Orders for engines. */
+  /** Orders to the infrastructure for engines. */
   readonly supply = new SupplyLedger()
   private readonly _batches = new Map<string, Batch>()
-  /** Completed results by the key of their item, for items that return in a later batch. */
+  /** Completed results by item key, for items that are submitted again in a later batch. */
   private readonly _completed = new Map<string, CompletedItem>()
 
   private readonly _unfinished = new Map<string, UnfinishedOutput>()
-  /** Hosts by engine, the engine ordered last at the end. */
+  /** Latest order by engine, in the order of their announcement. */
   private readonly _orders = new Map<string, { holder: string, lanesCount: number | undefined }>()
-  /** The newest version named of each model. */
+  /** The newest published version of each model. */
   private readonly _weights = new Map<string, number>()
   private readonly _listener: BatchStateListener
 
@@ -90,12 +90,12 @@
     this._listener = listener
   }
 
-  /** Bytes that its batches and outputs are counted for: the same at all replicas that applied the same commands. */
+  /** Estimated memory of batches and unfinished outputs in bytes; the same at all replicas that applied the same commands. */
   get heldBytes (): number {
     return this.heldBytesAt(Number.NEGATIVE_INFINITY)
   }
 
-  /** Bytes that are left once what is outdated at an instant is forgotten, which the next submission does. */
+  /** Estimated memory in bytes without what has expired at an instant; the next submission removes that. */
   heldBytesAt (atMs: number): number {
     let heldBytes = 0
     for (const batch of this._batches.values()) heldBytes += batch.isOutdated(atMs) ? 0 : batch.heldBytes
@@ -107,12 +107,12 @@
     return this._batches.get(batchId)
   }
 
-  /** The output kept of an item that was not finished, in whatever batch of the account it was last. */
+  /** Stored output of an unfinished item, from the last batch of the account that ran it. */
   unfinishedParts (itemId: string, account?: string): OutputPart[] {
     return this._unfinished.get(itemKeyOf(account, itemId))?.parts ?? []
   }
 
-  /** Bytes that the output kept of an item that was not finished is counted for. */
+  /** Estimated memory of the stored output of an unfinished item in bytes. */
   unfinishedBytes (itemId: string, account?: string): number {
     const parts = this._unfinished.get(itemKeyOf(account, itemId))?.parts
     return parts ? heldBytesOfUnfinished(itemId, parts) : 0
@@ -122,7 +122,7 @@
     return this._batches.values()
   }
 
-  /** Open batches that the next submission at an instant does not forget. */
+  /** Open batches that have not expired at an instant. */
   openAt (atMs: number): Batch[] {
     return this.open().filter(batch => !batch.isOutdated(atMs))
   }
@@ -139,7 +139,7 @@
     return [...this._batches.values()].filter(batch => !batch.isEnded)
   }
 
-  /** The completed result that an item had, under the same reward call, in any batch of the account that is still kept. */
+  /** The completed result of an item with the same reward call in any batch of the account that is still held. */
   completedResult ({ itemId, reward }: BatchItem, account?: string): ItemResult | undefined {
     const completed = this._completed.get(itemKeyOf(account, itemId))
     return completed && completed.rewardId === reward?.rewardId ? completed.result : undefined
@@ -169,9 +169,9 @@
   }
 
   /**
-   * One batch after the other, and the rest in lists of small values. The arrays
-   * are copied at the call and what they hold is replaced, never changed, so the
-   * pieces are the same while later commands are applied.
+   * Yields one batch after the other, then the rest in lists of small values. The
+   * arrays are copied here and their elements are never mutated, so commands that
+   * are applied later do not change the pieces.
    */
   snapshot (): SnapshotPieces {
     const batches = [...this._batches.values()].map(batch => batch.record())
@@ -182,7 +182,7 @@
     return { [Symbol.iterator]: () => piecesOf(batches, outputs, orders, weights, supply) }
   }
 
-  /** A result never changes, so one that is held already stands for the one that has come. */
+  /** Replaces received results by equal ones that are already held; results are immutable. */
   reuse (piece: unknown): unknown {
     const received = piece as SnapshotPiece
     if (received.kind !== 'results') return received
@@ -227,7 +227,7 @@
 
   private _restoreResults (batchId: string, results: ItemResult[], rewardIds: (string | undefined)[]): void {
     const batch = this._batches.get(batchId)
-    invariant(batch, `results of batch ${batchId} come before it`)
+    invariant(batch, `snapshot holds results of batch ${batchId} before the batch itself`)
     for (const [position, result] of results.entries()) this._recordCompleted(batch, result, batch.restore(result, rewardIds[position]))
   }
 
@@ -284,7 +284,7 @@
     return { kind: 'announced' }
   }
 
-  /** An older version that is named again changes nothing. */
+  /** Publishing an older version has no effect. */
   private _name ({ model, version }: NamedWeights): BatchCommandResult {
     const newest = Math.max(version, this._weights.get(model) ?? 0)
     this._weights.set(model, newest)
--- a/src/batches/batchTimes.ts
+++ b/src/batches/batchTimes.ts
@@ -1,23 +1,23 @@
 /**
- * When the results of a batch are due and when its items may be given up, the same
- * for whoever runs it: reckoned from its acceptance, not from the moment at which a
- * host begins to run it. A successor would take batches that are late for fresh ones.
+ * When the results of a batch are due and when its items may be abandoned. Both are
+ * computed from the acceptance of the batch and not from the moment at which a host
+ * starts to run it; otherwise a new leader would treat late batches as fresh ones.
  */
 import type { BatchPromise } from '../protocol/routing.js'
 import type { Clock } from '../utils/clock.js'
 import type { Batch } from './batch.js'
 import { ASSUMED_TOKEN_MS } from './itemOrder.js'
 
-/** For a batch whose route is not known any more. */
+/** Used for a batch whose route no longer exists. */
 const DEFAULT_DUE_MS = 10_000
 
-/** Instants that are the same for all items of a batch, by this host's clock. */
+/** Times that all items of a batch share, by this host's monotonic clock. */
 export interface BatchTimes {
-  /** When the results are due, or are last of use if that has passed. */
+  /** When the results are due; once that has passed, when they are last of use. */
   dueAtMs: number
-  /** From then on an item may be given up. */
+  /** From this time on, an item may be abandoned. */
   abandonAtMs: number
-  /** When its longest sample is expected to end, if that begins at once. */
+  /** When the longest open item is expected to end if it starts at once. */
   longestEndsAtMs: number
 }
 
@@ -29,21 +29,21 @@
     this._clock = clock
   }
 
-  /** This replica holds the batch from now on. */
+  /** Records that this replica has received the batch. */
   taken (batch: Batch): void {
     this._addedAtMs.set(batch, this._clock.nowMs())
   }
 
-  /** Time that a batch is accepted for at least: what this replica's own clock has seen of it. */
+  /** Lower bound for the age of a batch: the time since this replica received it, by its own clock. */
   private _observedAgeMs (batch: Batch): number {
     const nowMs = this._clock.nowMs()
     return nowMs - (this._addedAtMs.get(batch) ?? nowMs)
   }
 
   /**
-   * The times of a batch that this host begins to run. What is only ordered by
-   * them goes by the wall clocks of two leaders, which may differ; nothing is given
-   * up before this host's own clock says so.
+   * Times of a batch that this host starts to run. `dueAtMs`, which only affects the
+   * order of items, relies on the wall clocks of two leaders, which may differ.
+   * `abandonAtMs` relies on this host's own clock alone.
    */
   timesOf (batch: Batch, batchPromise: BatchPromise | undefined): BatchTimes {
     const nowMs = this._clock.nowMs()
--- a/src/batches/heldBytes.ts
+++ b/src/batches/heldBytes.ts
@@ -1,20 +1,20 @@
 /**
- * Bytes that the parts of the batch store's state are counted for. The count
- * depends on the values alone, so all replicas agree on it: bytes of bodies and
- * outputs, characters of texts, and a fixed overhead for the objects around
- * them. The overheads were measured with `node --expose-gc
- * dist/bench/batchMemory/main.js KIND` on Node.js 20: heap and array buffers per
- * object of 20,000 decoded from commands, less the bytes of their texts.
+ * Estimated memory of the parts of the batch store's state in bytes. The estimate
+ * depends on the values alone, so that all replicas agree on it: bytes of bodies and
+ * outputs, characters of strings, and a fixed overhead for the objects around them.
+ * The overheads come from `node --expose-gc dist/bench/batchMemory/main.js KIND` on
+ * Node.js 20: heap and array buffers per object for 20,000 objects decoded from
+ * commands, less the bytes of their strings.
  */
 import type { BatchItem, BatchSubmission, ItemResult, OutputPart } from '../protocol/batches.js'
 
-/** An open item with its reward call and six header texts: 1,248 by KIND `item`. */
+/** An open item with its reward call and six header strings: 1,248 measured with KIND `item`. */
 export const ITEM_OVERHEAD_BYTES = 1_250
-/** A result with its place in the list, without its parts: 483 by KIND `result`. */
+/** A result with its entry in the list, without its parts: 483 measured with KIND `result`. */
 export const RESULT_OVERHEAD_BYTES = 500
-/** A part of an output: 312 by KIND `part`, which gives 7,973 for a result of 24 parts. */
+/** A part of an output: 312 measured with KIND `part`, which gives 7,973 for a result of 24 parts. */
 export const PART_OVERHEAD_BYTES = 310
-/** A batch without items: 1,003 by KIND `batch`. */
+/** A batch without items: 1,003 measured with KIND `batch`. */
 export const BATCH_OVERHEAD_BYTES = 1_000
 
 export function heldBytesOfItem ({ itemId, path, headers, body, groupId, model, reward }: BatchItem): number {
@@ -27,7 +27,7 @@
   return RESULT_OVERHEAD_BYTES + textBytes([itemId, state, score ?? '', rewardId ?? '']) + heldBytesOfParts(parts)
 }
 
-/** Output kept of an item that is not listed yet. */
+/** Stored output of an item that is not listed yet. */
 export function heldBytesOfUnfinished (itemId: string, parts: readonly OutputPart[]): number {
   return RESULT_OVERHEAD_BYTES + itemId.length + heldBytesOfParts(parts)
 }
--- a/src/batches/itemOrder.ts
+++ b/src/batches/itemOrder.ts
@@ -80,9 +80,9 @@
  * runs, and the memory that is left. Memory weighs little until it runs short,
  * because an engine that runs out of it sets its newest run back to the start.
  */
-export function eventCostMs ({ gapMs, isUncertain: isInDoubt, engine, kvCapacityTokens }: EngineLoad): number {
+export function eventCostMs ({ gapMs, isUncertain, engine, kvCapacityTokens }: EngineLoad): number {
   const memoryShare = engine.heldTokensCount / Math.max(1, kvCapacityTokens)
-  return gapMs * (1 + FULL_BATCH_SLOWDOWN * busyShareOf(engine) + memoryShare ** 2 + (isInDoubt ? UNCERTAINTY_COST : 0))
+  return gapMs * (1 + FULL_BATCH_SLOWDOWN * busyShareOf(engine) + memoryShare ** 2 + (isUncertain ? UNCERTAINTY_COST : 0))
 }
 
 /** The engine on which an item is expected to end first. */
