--- a/src/batches/itemOrder.ts
+++ b/src/batches/itemOrder.ts
@@ -1,46 +1,46 @@
 /**
- * Which item runs first, and on which engine. Pure functions, so that a
- * policy can be compared without engines.
+ * The scheduling policy: which item runs first, and on which engine. Pure functions,
+ * so that policies can be compared without engines.
  */
 import type { Engine } from './engineFleet.js'
 
-/** What the order depends on. */
+/** The properties of an item that determine its place in the order. */
 export interface WaitingItem {
   /** When the results of its batch are due. */
   dueAtMs: number
-  /** Part of its output is there already. */
+  /** Part of its output exists already. */
   isStarted: boolean
-  /** It returned from an earlier batch; its trainer waits for it first. */
+  /** It was already submitted in an earlier batch; its trainer waits for it first. */
   isCarriedOver: boolean
-  /** Tokens still to be made, as far as its submitter can tell. */
+  /** Tokens still to be generated, by the submitter's estimate. */
   remainingTokensCount: number
   /** 0 is the most urgent. */
   priority: number
 }
 
-/** Time that an engine takes for a token, until events have shown it. Measured on both sites: 38 to 41 ms for events of 52 and 54 tokens. */
+/** Assumed time per token until the pace of an engine is known: engines need 38 to 41 ms for events of 52 and 54 tokens. */
 export const ASSUMED_TOKEN_MS = 0.77
 
-/** What a step of priority is worth against time to spare: half the time of an event. */
+/** Delay of an item's place in the order for each level of priority: half the time of an event. */
 const PRIORITY_STEP_MS = 25
-/** However urgent others are, an item that has so much less to spare goes before them: nobody is starved. */
+/** Bound for the delay by priority, so that items of low priority are not starved. */
 const MAX_PRIORITY_SHIFT_MS = 100
 
-/** The latest instant at which an item can start and still be whole in time. */
+/** The latest time at which an item can start and still be complete when it is due. */
 export function latestStartAtMs ({ dueAtMs, remainingTokensCount }: WaitingItem, tokenMs: number): number {
   return dueAtMs - remainingTokensCount * tokenMs
 }
 
-/** The instant by which items go, moved by priority. */
+/** The time by which items are sorted: the latest start, delayed by priority. */
 function sortKeyMs (item: WaitingItem, tokenMs: number): number {
   return latestStartAtMs(item, tokenMs) + Math.min(MAX_PRIORITY_SHIFT_MS, Math.max(0, item.priority) * PRIORITY_STEP_MS)
 }
 
 /**
- * The item with the least time to spare first, of whatever batch: a long item
- * of a later batch goes before a short one of an earlier batch, which would
- * only wait for its own batch's long ones. What is begun or returned goes
- * ahead of all. Priority moves an item by a bounded time.
+ * Sorts the item with the least slack first, across batches: a long item of a later
+ * batch precedes a short one of an earlier batch, which would only wait for the long
+ * ones of its own batch. Started items precede all others, then carried-over ones.
+ * Priority delays an item by a bounded time.
  */
 export function compareWaiting (left: WaitingItem, right: WaitingItem, tokenMs: number): number {
   if (left.isStarted !== right.isStarted) return left.isStarted ? -1 : 1
@@ -48,12 +48,12 @@
   return sortKeyMs(left, tokenMs) - sortKeyMs(right, tokenMs)
 }
 
-/** A full batch makes each step of an engine slower: 37 ms an event alone, 42 beside eleven others with what they have read. */
+/** Relative slowdown of an engine by a full decoding batch: 37 ms per event for a single run, 42 ms beside eleven others with their prompts. */
 const FULL_BATCH_SLOWDOWN = 0.13
-/** An engine whose pace or health is in doubt weighs as much slower than its nature, so that it is tried when the others are full. */
+/** Relative cost added for an engine whose pace or health is uncertain, so that it is only tried when the others are full. */
 const UNCERTAINTY_COST = 0.2
 
-/** Time that an engine is expected to need for an event, whatever runs there. */
+/** Expected time between two events of a run at an engine, regardless of its present load. */
 export function expectedGapMs (engine: Engine, assumedGapMs: number): number {
   return engine.pace.expectedGapMs ?? assumedGapMs
 }
@@ -62,9 +62,9 @@
   return engine.runningCount / Math.max(1, engine.endpoint.slotsCount)
 }
 
-/** An engine at one moment, as far as its time for an event depends on it. */
+/** The state of an engine that determines the cost of running an item there. */
 export interface EngineLoad {
-  /** Time that it is expected to need for an event, whatever runs there. */
+  /** Expected time between two events of a run, regardless of the present load. */
   gapMs: number
   isUncertain: boolean
   engine: Engine
@@ -76,16 +76,16 @@
 }
 
 /**
- * What an item costs on an engine, in milliseconds for an event: its pace, its
- * runs, and the memory that is left. Memory weighs little until it runs short,
- * because an engine that runs out of it sets its newest run back to the start.
+ * Cost of running an item on an engine, in milliseconds per event, from the pace,
+ * the runs and the used memory of the engine. Memory has little weight until it runs
+ * short; an engine that runs out of memory restarts its newest run from the beginning.
  */
 export function eventCostMs ({ gapMs, isUncertain, engine, kvCapacityTokens }: EngineLoad): number {
   const memoryShare = engine.heldTokensCount / Math.max(1, kvCapacityTokens)
   return gapMs * (1 + FULL_BATCH_SLOWDOWN * busyShareOf(engine) + memoryShare ** 2 + (isUncertain ? UNCERTAINTY_COST : 0))
 }
 
-/** The engine on which an item is expected to end first. */
+/** The engine on which an item is expected to finish first. */
 export function fastestEngine (engines: readonly Engine[], assumedGapMs: number, kvCapacityTokens: number): Engine | undefined {
   let fastest: Engine | undefined
   let lowestCostMs = Number.POSITIVE_INFINITY
@@ -98,63 +98,63 @@
   return fastest
 }
 
-/** What the choice between a slot that is free and one that will be depends on. */
+/** Input for the choice between a free slot and a slot of a faster engine that is not free yet. */
 export interface SlotChoice {
-  /** The best engine with a free slot. */
+  /** Expected time per event of the best engine with a free slot. */
   freeGapMs: number
-  /** The best engine of all, which has none. */
+  /** Expected time per event of the best engine of all, which is full. */
   fullGapMs: number
   remainingEventsCount: number
-  /** Time that the item has waited already. */
+  /** Time for which the item has already waited. */
   waitedMs: number
 }
 
-/** An engine this much slower than another is not the same kind; those of one kind differ by less, also when one is full and the other empty. */
+/** An engine slower than another by this ratio is of another kind. Engines of one kind differ by less, even when one is full and the other empty. */
 const SLOWER_KIND_RATIO = 1.15
 
 /**
- * Whether an item waits for a slot of a faster engine although a slower one has
- * room. It waits as long as it would lose by running on the slower one, at most:
- * whatever comes, the two together cost it no more than twice the better of them.
- * A sample of 187 events ends 1.9 s earlier on an engine that needs 38 ms for an
- * event than on one that needs 48; a slot of a full engine should
- * be free every 70 ms (twelve slots, 0.84 s a sample by the sheet; worked out).
+ * Whether an item waits for a slot of a faster engine although a slower one has a
+ * free slot. It waits at most for the time that it would lose on the slower engine,
+ * so that waiting and losing together cost at most twice the better choice. A sample
+ * of 187 events ends 1.9 s earlier on an engine that needs 38 ms per event than on
+ * one that needs 48 ms, and a full engine should free a slot every 70 ms (twelve
+ * slots, 0.84 s per sample).
  */
 export function shouldWaitForFaster ({ freeGapMs, fullGapMs, remainingEventsCount, waitedMs }: SlotChoice): boolean {
   if (freeGapMs < SLOWER_KIND_RATIO * fullGapMs) return false
   return waitedMs < remainingEventsCount * (freeGapMs - fullGapMs)
 }
 
-/** An engine this much slower than another is left for it. Those of one kind differ by less, also when one is full and the other empty (37 and 42 ms), so that no run goes back and forth between them. */
+/** A run leaves an engine that is slower than another by this ratio. Engines of one kind differ by less, even when one is full and the other empty (42 and 37 ms), so no run moves back and forth between them. */
 const MOVE_RATIO = 1.22
-/** A run that gains less than this stays: moving reads the prompt and what was made again, some 20 ms, and loses an event on the way. */
+/** A run that gains less than this stays: a move processes the prompt and the generated text again, which takes about 20 ms, and loses an event in transit. */
 const MIN_MOVING_GAIN_MS = 300
-/** Hints are often far off: a run is expected to make this share of its events once more. Measured: 0.9 after 40 events, 0.5 after 80. */
+/** A run is expected to generate at least this share of its events once more, as hints are often far off: 0.9 was seen after 40 events, 0.5 after 80. */
 const EXPECTED_REMAINING_SHARE = 0.75
 
-/** A run as far as a move depends on it, counted in events. */
+/** Progress and expected length of a run, in events. */
 export interface RunEstimate {
   generatedCount: number
-  /** What its submitter still expects. */
+  /** Events still to come by the submitter's hint. */
   hintedRemainingCount: number
-  /** The longest output of the model that was seen. */
+  /** The longest output seen of the model. */
   longestCount: number
 }
 
-/** Events that a run will still make, as far as its hint, what it has made and the longest one seen tell. */
+/** Estimates the events that a run will still generate from its hint, the events so far and the longest output seen. */
 export function expectedEventsCount ({ generatedCount, hintedRemainingCount, longestCount }: RunEstimate): number {
   const remainingCount = Math.max(hintedRemainingCount, EXPECTED_REMAINING_SHARE * generatedCount)
   const isWithinLongest = generatedCount < longestCount
   return isWithinLongest ? Math.min(remainingCount, longestCount - generatedCount) : remainingCount
 }
 
-/** Time that a run saves by going on at another engine; 0 when it had better stay. */
+/** Time that a run saves by moving to another engine; 0 when it should stay. */
 export function movingGainMs (from: Engine, to: Engine, run: RunEstimate): number {
   const gainMs = expectedEventsCount(run) * gainPerEventMs(from, to)
   return gainMs > MIN_MOVING_GAIN_MS ? gainMs : 0
 }
 
-/** Time that each event of a run is earlier at another engine; 0 when the two are of one kind. */
+/** Time that a run saves per event by moving to another engine; 0 when both are of one kind. */
 export function gainPerEventMs (from: Engine, to: Engine): number {
   const fromGapMs = from.pace.presentGapMs
   const toGapMs = gapWithOneMoreMs(to)
@@ -162,7 +162,7 @@
   return fromGapMs - toGapMs
 }
 
-/** Undefined when nothing tells of its pace, or what tells may be over. */
+/** Expected time per event of an engine with one more run; undefined when its pace is unknown or uncertain. */
 function gapWithOneMoreMs (engine: Engine): number | undefined {
   const { presentGapMs, naturalGapMs, isInDoubt } = engine.pace
   if (presentGapMs !== undefined) return presentGapMs
--- a/src/batches/itemRun.ts
+++ b/src/batches/itemRun.ts
@@ -1,7 +1,7 @@
 /**
- * One item of a batch, from its turn to its place in the list of results: it
- * runs on an engine, goes on at another one behind the last event if that
- * breaks off, is scored, and is committed. One task, written straight down.
+ * One item of a batch, from waiting for a slot to its position in the list of results.
+ * The item runs on an engine, resumes after the last event on another engine if the
+ * run breaks off, is scored and is committed, all in one sequential task.
  */
 import type { EndpointClient, ItemEvent, ItemOutcome } from '../endpoints/endpointClient.js'
 import { FailureAccount } from '../endpoints/failureAccount.js'
@@ -30,17 +30,17 @@
 import { RewardScoring } from './rewardScoring.js'
 import { ItemStage } from './stepReports.js'
 
-/** A run looks for a faster engine after every so many events. */
+/** A run checks for a faster engine each time it has received this many events. */
 const MOVE_CHECK_EVENTS_COUNT = 4
-/** Why the scope of a run closes that goes on elsewhere. */
+/** Close reason of a run that moves to another engine. */
 const MOVED = 'moved to a faster engine'
-/** Pause after a run that failed at once, so that a broken engine is not asked in a loop; twice as long after each answered failure. */
+/** Pause after a failed run, so that a broken engine is not called in a tight loop; doubled after each further failure that engines answered. */
 const RETRY_PAUSE_MS = 30
 const MAX_RETRY_PAUSE_MS = 1_000
-/** An item that too few engines could try is given up after so many times the failures that its route allows. */
+/** An item that too few different engines have tried is abandoned after this many times the failures that its route allows. */
 const MAX_FAILURES_FACTOR = 2
 const COMMIT_TIMEOUT_MS = 2_000
-/** An item that goes to no engine is looked at again after this, until it may be given up: it may be lifted. */
+/** Interval for checking whether the quarantine of an item was lifted, until the item may be abandoned. */
 const WITHHELD_PAUSE_MS = 500
 
 export interface ItemRunOptions {
@@ -51,21 +51,21 @@
   forwarder: RequestForwarder
   quarantine: RequestQuarantine
   replica: Replica
-  /** Waits until an engine has room for the item; undefined when none has until the deadline. */
+  /** Waits for a slot of an engine; undefined when none is free until the deadline. */
   acquire: (run: ItemRun, deadlineMs: number, scope: Scope) => Promise<Engine | undefined>
   release: (run: ItemRun, engine: Engine) => void
-  /** Whether this host has more to do than its processor takes. */
+  /** Whether the processor of this host is overloaded. */
   isOverloaded: () => boolean
-  /** Whether a run had better go on at another engine, which has room. */
+  /** Whether a run should move to another engine with a free slot. */
   shouldMove: (run: ItemRun, engine: Engine) => boolean
-  /** Told once the output of a run is whole. */
+  /** Called once the output of the item is complete. */
   onComplete: (run: ItemRun) => void
   tokensPerEvent: (run: ItemRun) => number
-  /** Another endpoint has an engine's address. */
+  /** Called when another endpoint answers at the address of an engine. */
   markRemoved: (endpointId: string) => void
-  /** Engines of the item's service that take new work. */
+  /** Number of engines of the item's service that accept new runs. */
   enginesCount: (run: ItemRun) => number
-  /** The route of a request, in the routing configuration of the moment. */
+  /** The route of a request in the current routing configuration. */
   routeOf: (host: string, path: string) => RoutingRoute | undefined
 }
 
@@ -75,18 +75,17 @@
   readonly output: ItemOutput
   readonly times: BatchTimes
   readonly isCarriedOver: boolean
-  /** What it is at. */
   stage = ItemStage.Queued
   private readonly _options: ItemRunOptions
-  /** Runs that engines answered as failed. */
+  /** Failures of the item at engines. */
   private readonly _failures: FailureAccount
   private readonly _outputReplicator: OutputReplicator
   private readonly _identity: RequestIdentity
   private readonly _startedAtMs: number
-  /** Engine and scope of the run that is under way. */
+  /** Engine and scope of the run in progress. */
   private _current: { engine: Engine, scope: Scope } | undefined
 
-  /** @param earlierOutput output that an earlier batch had of the item */
+  /** @param earlierOutput output that the item already has from an earlier batch or leader */
   constructor (options: ItemRunOptions, batch: Batch, item: BatchItem, times: BatchTimes, earlierOutput: ItemOutput | undefined, isCarriedOver: boolean) {
     this._options = options
     this._startedAtMs = options.clock.nowMs()
@@ -115,28 +114,28 @@
     return this.times.dueAtMs
   }
 
-  /** The engine that it runs on at the moment. */
+  /** The engine on which the item is running; undefined for none. */
   get engine (): Engine | undefined {
     return this._current?.engine
   }
 
-  /** It may not run at every engine that fits the rest of its batch. */
+  /** Whether the item may not use all engines that other items of its batch may use. */
   get isRestricted (): boolean {
     return this._failures.endpointsCount > 0 || this._quarantineStatus() === RequestStanding.OnProbation
   }
 
-  /** An engine that failed it is asked again only if no other fits. */
+  /** Whether the item has failed at an engine, which is then only used if no other one fits. */
   avoids ({ id }: Engine): boolean {
     return this._failures.hasFailedAt(id)
   }
 
-  /** Whether it may run beside what runs at an engine. */
+  /** Whether the quarantine allows the item to run at an engine beside its present runs. */
   mayRunOn ({ endpoint }: Engine): boolean {
     const status = this._quarantineStatus()
     return status !== RequestStanding.Condemned && this._options.quarantine.mayBegin(status, endpoint)
   }
 
-  /** Leaves its engine, to go on at another one. */
+  /** Ends the run at the present engine, so that the item continues at another one. */
   move (): void {
     this._current?.scope.close(MOVED)
   }
@@ -145,12 +144,12 @@
     return this.output.lastEventId > 0
   }
 
-  /** Events are counted by their tokens once the dispatcher has said how many one holds. */
+  /** Expected tokens less those of the received events. */
   get remainingTokensCount (): number {
     return Math.max(0, this.item.expectedTokensCount - this.output.lastEventId * this._options.tokensPerEvent(this))
   }
 
-  /** Returns once the item is listed. */
+  /** Runs the item to its end and resolves once its result is listed. */
   async run (scope: Scope, completed: ItemResult | undefined): Promise<void> {
     if (completed) return await this._reuse(completed, scope)
     const isComplete = await this._runUntilComplete(scope)
@@ -163,17 +162,17 @@
     await this._commit(completed, scope)
   }
 
-  /** False when the item is given up. */
+  /** Runs the item until its output is complete; resolves to false if the item is abandoned. */
   private async _runUntilComplete (scope: Scope): Promise<boolean> {
     const { clock } = this._options
     if (this.isStarted) this._log(BatchEvent.ItemReused, { eventsCount: this.output.lastEventId, isWhole: false })
     for (;;) {
-      // Without a wait it asks for a slot in this very turn, together with the rest of its batch.
+      // No await before `acquire` unless the item is withheld: it has to request a slot in the same turn as the rest of its batch.
       if (this._isWithheld() && !await this._waitUntilLifted(scope)) return false
       this.stage = ItemStage.Queued
       const engine = await this._options.acquire(this, this.times.abandonAtMs, scope)
       if (!engine) return false
-      // It may have waited long for the slot, and may not share the engine with another like it.
+      // The quarantine status may have changed while the item waited for the slot.
       if (!this.mayRunOn(engine)) {
         this._options.release(this, engine)
         await sleepUntil(clock, scope, clock.nowMs() + RETRY_PAUSE_MS)
@@ -198,7 +197,7 @@
     return Math.min(MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS * 2 ** Math.max(0, this._failures.failuresCount - 1))
   }
 
-  /** Waits while engines end under the item; false when it is given up meanwhile. */
+  /** Waits until the quarantine of the item is lifted; resolves to false if the item is abandoned first. */
   private async _waitUntilLifted (scope: Scope): Promise<boolean> {
     const { clock } = this._options
     this.stage = ItemStage.Withheld
@@ -233,7 +232,7 @@
     return (route !== undefined && this._hasExhaustedAttempts(route.maxAttemptsCount)) || this._options.clock.nowMs() >= this.times.abandonAtMs
   }
 
-  /** Failed as often as its route allows, by different engines as far as there are some. */
+  /** Whether the item has failed as often as its route allows, at different engines if there are enough. */
   private _hasExhaustedAttempts (maxAttemptsCount: number): boolean {
     const { failuresCount, endpointsCount } = this._failures
     if (failuresCount < maxAttemptsCount) return false
@@ -241,12 +240,12 @@
     return endpointsCount >= wantedCount || failuresCount >= MAX_FAILURES_FACTOR * maxAttemptsCount
   }
 
-  /** Runs at an engine, and gives its slot back. */
+  /** Runs the item at an engine and releases the slot. */
   private async _runOn (engine: Engine, scope: Scope): Promise<RunOutcome> {
     const startedAtMs = this._options.clock.nowMs()
     try {
       const outcome = await this._attempt(engine, scope)
-      // Before anything else gets the slot.
+      // Recorded before the slot is released and another run may get it.
       recordOutcome(outcome, { engine, startedAtMs, failures: this._failures, markRemoved: this._options.markRemoved })
       return outcome
     } finally {
@@ -321,24 +320,24 @@
     }
   }
 
-  /** Keeps an event; the reason to end the run if it must not be kept. */
+  /** Adds an event to the output; returns the reason to end the run if the event cannot be used. */
   private _addEvent (event: ItemEvent, engine: Engine): string | undefined {
     const { minVersion, host, path } = this.batch.submission
     if (event.version < minVersion) {
       engine.setVersion(this.item.model, event.version)
-      return `version ${event.version} is older than ${minVersion}`
+      return `engine sent an event of version ${event.version}, older than the required version ${minVersion}`
     }
     engine.learnVersion(this.item.model, event.version)
     const isSingle = this._options.routeOf(host, path)?.batch?.isSingleVersion === true
     if (isSingle && this.isStarted && !this.output.versions.includes(event.version)) {
       this.output.clear()
-      return 'the version changed in the middle'
+      return `version changed to ${event.version} during a sample that allows a single version`
     }
     this.output.add(event)
     return undefined
   }
 
-  /** Puts what the replicated state lacks of the output into it. */
+  /** Writes all events that are not in the replicated state yet. */
   async replicateOutput (progress: Progress): Promise<void> {
     await this._outputReplicator.replicateAll(progress)
   }
@@ -348,7 +347,7 @@
     return { itemId: this.item.itemId, state: ResultState.GivenUp, parts: [], versions: [] }
   }
 
-  /** The result with its score, once there is one. */
+  /** Waits for the score and returns the result; an abandoned one if there is no score. */
   private async _score (scope: Scope): Promise<ItemResult> {
     const { reward, itemId } = this.item
     const result = { itemId, parts: [], versions: this.output.versions, state: ResultState.Completed }
@@ -360,7 +359,7 @@
     return score.kind === 'scored' ? { ...result, score: score.receipt } : this._abandonedResult()
   }
 
-  /** Lists the result; its text is what the replicated state keeps and what is only here. */
+  /** Proposes the result until it is listed. The command holds only the events that are not in the replicated state yet. */
   private async _commit (result: ItemResult, scope: Scope): Promise<void> {
     const { clock, replica } = this._options
     const { batchId } = this.batch
--- a/src/batches/outputKeeper.ts
+++ b/src/batches/outputKeeper.ts
@@ -1,6 +1,6 @@
 /**
- * Puts the output of an item into the replicated state as it grows, without
- * holding the run up, so that a later leader goes on behind it.
+ * Writes the output of an item to the replicated state as it grows, without blocking
+ * the run, so that a later leader can continue from it.
  */
 import { BatchCommandKind, type BatchCommandResult } from '../protocol/batches.js'
 import type { Replica } from '../replication/log/replica.js'
@@ -10,9 +10,13 @@
 import type { Scope } from '../utils/scope.js'
 import type { ItemOutput } from './itemOutput.js'
 
-/** So many events are put into the replicated state together: under a second of a run, which a new leader would have to repeat. */
+/** Events per write to the replicated state: less than a second of a run, which a new leader would have to repeat. */
 const REPLICATED_EVENTS_COUNT = 16
-/** Of a run that has made this many already, fewer at a time: a step ends with its longest samples, and waits for what a dead leader lost of them, 0.1 s on average instead of 0.3 s at 40 ms an event (worked out). */
+/**
+ * A run with this many events writes fewer events at a time. A step ends with its
+ * longest samples and waits for what a dead leader lost of them: 0.1 s on average
+ * instead of 0.3 s at 40 ms per event.
+ */
 const LONG_RUN_EVENTS_COUNT = 64
 const LONG_RUN_REPLICATED_EVENTS_COUNT = 6
 const COMMIT_TIMEOUT_MS = 2_000
@@ -23,7 +27,7 @@
   batchId: string
   itemId: string
   output: ItemOutput
-  /** Told when events were not kept, or may not have been. */
+  /** Called when events were not written, or when that is unknown; with the last event id before them. */
   onNotReplicated: (afterEventId: number, outcome: string) => void
 }
 
@@ -35,7 +39,7 @@
     this._options = options
   }
 
-  /** Events were added: keeps them once there are enough. */
+  /** Called after events were added; starts a write once there are enough. */
   replicateIfEnough (scope: Scope): void {
     if (this._replicating || this._options.output.unreplicatedCount < this._eventsPerCommand()) return
     this._replicating = this._replicateNew(scope).catch(error => {
@@ -43,12 +47,12 @@
     }).finally(() => { this._replicating = undefined })
   }
 
-  /** Waits for what is being kept. */
+  /** Waits for a write in progress. */
   async whenIdle (scope: Scope): Promise<void> {
     if (this._replicating) await scope.race(this._replicating)
   }
 
-  /** Keeps all that there is. */
+  /** Writes all events that are not in the replicated state yet. */
   async replicateAll (progress: Progress): Promise<void> {
     if (this._replicating) await progress.race(this._replicating)
     if (this._options.output.unreplicatedCount > 0) await this._replicateNew(progress.scope)
@@ -67,7 +71,7 @@
     if (output.generation !== generation) return
     if (answer === 'kept') return output.markReplicated(lastEventId)
     onNotReplicated(afterEventId, answer)
-    // Whether it was kept is not known, or it was not: the next part brings everything.
+    // The write failed or its outcome is unknown, so the next one sends all events again.
     output.resetReplicated()
   }
 }
--- a/src/batches/rewardScoring.ts
+++ b/src/batches/rewardScoring.ts
@@ -1,7 +1,7 @@
 /**
- * Scores a sample whose text is whole, by its reward call: asked again until
- * there is a score, the call was failed as often as its route allows, or
- * endpoints end under it and the item may be given up.
+ * Scores a sample with complete text by its reward call. The call is repeated until
+ * there is a score, until it has failed as often as its route allows, or until it is
+ * quarantined for crashing endpoints and the item may be abandoned.
  */
 import type { ForwardOutcome, RequestForwarder } from '../gateway/requestForwarder.js'
 import type { RewardCall } from '../protocol/batches.js'
@@ -14,10 +14,10 @@
 import { Progress } from '../utils/progress.js'
 import type { Scope } from '../utils/scope.js'
 
-/** One try of the reward call, with its retries: the longest of both sites takes a tenth of this. */
+/** Time limit for one reward call with its retries; the longest calls of both sites take a tenth of this. */
 const REWARD_TIMEOUT_MS = 2_000
 const RETRY_PAUSE_MS = 50
-/** A call under which endpoints end goes to none of them: whether it was lifted is looked at this often. */
+/** A quarantined call is sent to no endpoint; this is the interval for checking whether the quarantine was lifted. */
 const QUARANTINED_PAUSE_MS = 1_000
 const HTTP_OK_MIN = 200
 const HTTP_OK_MAX = 299
@@ -25,16 +25,16 @@
 export type RewardScore =
   /** The receipt of the endpoint that scored it. */
   | { kind: 'scored', receipt: string }
-  /** No further call is allowed. */
+  /** No further attempt is allowed. */
   | { kind: 'lost' }
 
 export interface RewardScoringOptions {
   clock: Clock
   metrics: Metrics
   forwarder: RequestForwarder
-  /** The route of a request, in the routing configuration of the moment. */
+  /** The route of a request in the current routing configuration. */
   routeOf: (host: string, path: string) => RoutingRoute | undefined
-  /** Told of every call that has ended. */
+  /** Called with log fields after each call. */
   onCalled: (fields: LogFields) => void
 }
 
@@ -45,7 +45,7 @@
     this._options = options
   }
 
-  /** @param abandonAtMs from then on a call that is sent to no endpoint is given up */
+  /** @param abandonAtMs time from which a quarantined call is no longer repeated */
   async score (reward: RewardCall, abandonAtMs: number, scope: Scope): Promise<RewardScore> {
     const { clock, routeOf } = this._options
     let failuresCount = 0
@@ -88,7 +88,7 @@
   return outcome?.kind === 'refused' && outcome.reason === RefusalReason.Quarantined
 }
 
-/** That of a success. */
+/** The receipt of a successful answer. */
 function receiptOf ({ status, receipt }: Extract<ForwardOutcome, { kind: 'answered' }>): string | undefined {
   return status >= HTTP_OK_MIN && status <= HTTP_OK_MAX ? receipt : undefined
 }
--- a/src/batches/runOutcome.ts
+++ b/src/batches/runOutcome.ts
@@ -1,5 +1,5 @@
 /**
- * How a run of an item at an engine can end, and what that says of the engine.
+ * How a run of an item at an engine can end, and the effect on the health of the engine.
  */
 import type { ItemOutcome } from '../endpoints/endpointClient.js'
 import { FailureReason } from '../endpoints/endpointHealth.js'
@@ -9,23 +9,23 @@
 
 export type RunOutcome =
   | ItemOutcome
-  /** It goes on at a faster engine. */
+  /** It continues at a faster engine. */
   | { kind: 'moved' }
-  /** Nothing came of it, though the engine took it: it is not known whether it began. */
+  /** The engine accepted it but sent no event, so it is unknown whether it started. */
   | { kind: 'notBegun', reason: string }
-  /** It was ended here for what it gave: the engine did what it can. */
+  /** This host ended it because its output does not fit the batch; the engine is not at fault. */
   | { kind: 'unusable', reason: string }
 
 export interface EndedRun {
   engine: Engine
   startedAtMs: number
-  /** What its item has met at all engines. */
+  /** Failures of its item at all engines. */
   failures: FailureAccount
-  /** Another endpoint has an engine's address. */
+  /** Called when another endpoint answers at the address of the engine. */
   markRemoved: (endpointId: string) => void
 }
 
-/** Notes in what is known of the engine how a run there has ended. */
+/** Records the outcome of a run in the health of the engine and in the failures of the item. */
 export function recordOutcome (outcome: RunOutcome, { engine, startedAtMs, failures, markRemoved }: EndedRun): void {
   const { health } = engine
   switch (outcome.kind) {
@@ -39,7 +39,7 @@
       failures.note(engine.id, health, startedAtMs, outcome.status)
       return
     case 'notBegun':
-      // That others go on there says nothing of whether it begins what it takes.
+      // Progress of other runs does not show that the engine starts the runs that it accepts.
       health.failed(FailureReason.Broken, startedAtMs)
       failures.noteUnbegun(engine.id, health, startedAtMs)
       return
--- a/src/batches/runPlaces.ts
+++ b/src/batches/runPlaces.ts
@@ -1,7 +1,7 @@
 /**
- * Which service each item runs at: drawn by the weights of its route, as requests
- * are, among the services whose engines have its model. While the drawn one has no
- * engine that takes work, another one of them stands in.
+ * Selects the service at which each item runs: at random by the weights of its route,
+ * as for requests, among the services whose engines have its model. While the selected
+ * service has no engine that accepts work, another one of them is used instead.
  */
 import type { FleetView } from '../fleet/fleetView.js'
 import { chooseService } from '../gateway/routeTable.js'
@@ -18,10 +18,10 @@
   routeOf: (host: string, path: string) => RoutingRoute | undefined
 }
 
-/** What was drawn for one item under one version of the routing configuration. */
+/** Placements drawn for one item under one version of the routing configuration. */
 interface DrawnPlacements {
   version: number
-  /** The drawn one first. */
+  /** The selected service first, then the fallbacks. */
   placements: Placement[]
 }
 
@@ -33,7 +33,7 @@
     this._options = options
   }
 
-  /** Undefined while the item's route is not known. */
+  /** The present placement of an item; undefined while its route is unknown. */
   placementOf (run: ItemRun): Placement | undefined {
     const { routing } = this._options.view
     if (!routing) return undefined
--- a/src/batches/silenceWatch.ts
+++ b/src/batches/silenceWatch.ts
@@ -1,19 +1,19 @@
 /**
- * Ends a run whose engine has fallen silent. What silence is depends on the
- * engine: eight of the gaps that are usual there, so that a crash costs a long
- * sample under half a second, and a slow engine is not left for being slow.
+ * Ends a run whose engine stalls. The timeout depends on the engine: eight of its
+ * usual gaps between events, so that a crash costs a long sample less than half a
+ * second and a slow engine is not abandoned for its pace.
  */
 import type { Clock } from '../utils/clock.js'
 import type { Scope } from '../utils/scope.js'
 import type { EnginePace } from './enginePace.js'
 
-/** An engine that makes no first event for so long is left for another one: prompts are read in milliseconds, but one may wait behind others. */
+/** Timeout for the first event of a run: a prompt is processed in milliseconds but may wait behind others. */
 const FIRST_EVENT_TIMEOUT_MS = 900
-/** From then on, so many of the gaps that are usual there without an event: a prompt of thousands of tokens that is read between two events takes less than three. */
+/** Timeout for later events in usual gaps of the engine: a prompt of thousands of tokens that is processed between two events takes less than three gaps. */
 const STALL_GAPS_COUNT = 8
-/** Events of an engine on another host may come together after a lost packet; a resent one is there by then. */
+/** Lower bound for the timeout, within which a lost packet is retransmitted; the events behind it then arrive together. */
 const MIN_STALL_TIMEOUT_MS = 400
-/** A timer that is later than this shows that the host was frozen or had no processor. */
+/** A timer that fires later than this shows that the host was frozen or had no processor time. */
 const MAX_TIMER_DELAY_MS = 100
 
 export class StallDetector {
@@ -26,8 +26,8 @@
   private _cancelTimer = (): void => {}
 
   /**
-   * Begins to watch; closes the scope of the run when the engine is silent.
-   * @param isOverloaded whether this host is too busy for its own timers
+   * Starts the stall detection, which closes the scope of the run when the engine stalls.
+   * @param isOverloaded whether this host is too busy to run its timers on time
    */
   constructor (clock: Clock, pace: EnginePace, runScope: Scope, isOverloaded: () => boolean) {
     this._clock = clock
@@ -39,15 +39,15 @@
     runScope.onClose(() => this._cancelTimer())
   }
 
-  /** Events that came so far. */
+  /** Number of events recorded so far. */
   get eventsCount (): number {
     return this._eventsCount
   }
 
-  /** An event has come: the engine is not silent, and its gap tells of the engine's pace. */
+  /** Restarts the timeout after an event, and adds the gap before the event to the pace of the engine. */
   recordEvent (): void {
     const nowMs = this._clock.nowMs()
-    // The first event comes after the prompt was read, which says nothing of the pace; nor does one that this host has read late.
+    // The time to the first event depends on the prompt, and an overloaded host reads events late; neither is part of the pace.
     if (this._eventsCount > 0 && !this._isOverloaded()) this._pace.sawGap(nowMs - this._lastEventAtMs)
     this._eventsCount++
     this._lastEventAtMs = nowMs
@@ -55,10 +55,10 @@
 
   private _check (runScope: Scope): void {
     const nowMs = this._clock.nowMs()
-    // This host was held up itself: what came meanwhile is read first.
+    // This host was delayed itself, so events that arrived meanwhile are read first.
     if (nowMs - this._checkDueAtMs > MAX_TIMER_DELAY_MS) return this._scheduleCheck(nowMs + MAX_TIMER_DELAY_MS, runScope)
     const stalledAtMs = this._lastEventAtMs + this._stallTimeoutMs()
-    if (nowMs >= stalledAtMs) runScope.close('the engine fell silent')
+    if (nowMs >= stalledAtMs) runScope.close(`engine sent no event for ${Math.round(nowMs - this._lastEventAtMs)} ms`)
     else this._scheduleCheck(Math.min(stalledAtMs, nowMs + MIN_STALL_TIMEOUT_MS), runScope)
   }
 
--- a/src/batches/slotAssignment.ts
+++ b/src/batches/slotAssignment.ts
@@ -1,7 +1,7 @@
 /**
- * Gives the slots of engines to items that wait, and to runs that had better go
- * on elsewhere. The rules are in itemOrder and slotSharing; what waits and what
- * runs is held here.
+ * Assigns the slots of engines to waiting items and to runs that should move to
+ * another engine. This module holds the waiting and running items; the rules are in
+ * itemOrder and slotSharing.
  */
 import type { FleetView } from '../fleet/fleetView.js'
 import { EndpointLifecycle } from '../protocol/fleet.js'
@@ -16,9 +16,9 @@
 import { StartPacing } from './startPacing.js'
 import { WaitReason } from './stepReports.js'
 
-/** Until a trainer's own interval was seen; both users' trainers ask every four seconds. */
+/** Interval between steps until that of the trainer was seen; the trainers of both known deployments submit a step every four seconds. */
 const ASSUMED_STEP_INTERVAL_MS = 4_000
-/** Notice of an engine that is taken away comes some tens of milliseconds late. */
+/** Time reserved before an engine is removed, since the notice of its removal arrives some tens of milliseconds late. */
 const LEAVING_MARGIN_MS = 250
 
 export interface SlotAssignmentOptions {
@@ -26,11 +26,11 @@
   view: FleetView
   engines: EngineFleet
   demand: ModelDemand
-  /** Every item that is not listed yet, whether it waits, runs or is scored. */
+  /** All items that are not listed yet: waiting, running or being scored. */
   runs: ReadonlySet<ItemRun>
-  /** Told of each turn in which runs are begun, and how late it came. */
+  /** Called at each turn in which runs may start, with its delay. */
   onTurn: (latenessMs: number, waitingCount: number) => void
-  /** Where an item may run; undefined while its route is not known. */
+  /** The service at which an item runs; undefined while its route is unknown. */
   placementOf: (run: ItemRun) => Placement | undefined
 }
 
@@ -43,9 +43,9 @@
 export class SlotAssignment {
   private readonly _options: SlotAssignmentOptions
   private readonly _pacing: StartPacing
-  /** Slots that are kept for runs on their way from a slower engine. */
+  /** Engines with a slot reserved for a run that is leaving a slower engine. */
   private readonly _reserved = new Map<ItemRun, Engine>()
-  /** Runs that were sent away from an engine that is to be taken away. */
+  /** Items that were moved off an engine before its removal. */
   private readonly _movedBeforeRemoval = new WeakSet<ItemRun>()
   private _waiting: WaitingRun[] = []
   private _isSorted = true
@@ -56,12 +56,12 @@
     this._pacing = new StartPacing(options.clock)
   }
 
-  /** This host has more to do than its processor takes. */
+  /** Whether the processor of this host is overloaded. */
   get isOverloaded (): boolean {
     return this._pacing.isOverloaded
   }
 
-  /** Looks for room regularly until the scope closes: runs are begun in turns, and suspicions and pauses of engines end by time. */
+  /** Assigns slots at regular turns until the scope closes, because starts are limited per turn, and ejections and pauses of engines end by time. */
   async run (scope: Scope): Promise<void> {
     for (;;) {
       await sleepUntil(this._options.clock, scope, this._pacing.dueAtMs)
@@ -70,12 +70,12 @@
     }
   }
 
-  /** Items of a model that wait for an engine. */
+  /** Number of items of a model that wait for a slot. */
   waitingCount (model: string): number {
     return this._waiting.filter(({ run }) => run.item.model === model).length
   }
 
-  /** What keeps an item that waits from a slot. */
+  /** Why a waiting item has no slot. */
   waitReasonOf (run: ItemRun): WaitReason {
     const placement = this._options.placementOf(run)
     if (!placement) return WaitReason.NoRoute
@@ -88,7 +88,7 @@
     return healthy.some(engine => engine.mayRun(run.item.model)) ? WaitReason.Turn : WaitReason.NoSlot
   }
 
-  /** Lets many items come before the first gets a slot, so that the one that should is first. */
+  /** Assigns slots only after all items were added, so that the most urgent of them gets the first one. */
   assignAfter (addItems: () => void): void {
     this._isPaused = true
     addItems()
@@ -96,7 +96,7 @@
     this.assign()
   }
 
-  /** Waits until an engine has room for the item, and takes the slot; undefined when none has until the deadline. */
+  /** Waits for a slot of an engine and takes it; undefined when none is free until the deadline. */
   async acquire (run: ItemRun, deadlineMs: number, scope: Scope): Promise<Engine | undefined> {
     const reserved = this._reserved.get(run)
     if (reserved && reserved.mayBegin(run.item.model) && this._isReady(reserved)) {
@@ -131,7 +131,7 @@
     this.assign()
   }
 
-  /** The run is over: a slot that was kept for it is free. */
+  /** Frees the slot that is reserved for a run, if there is one. */
   releaseReservation (run: ItemRun): void {
     const engine = this._reserved.get(run)
     if (!engine) return
@@ -139,7 +139,7 @@
     engine.leave(tokensOf(run))
   }
 
-  /** Runs that cannot end before their engine is taken away go on elsewhere at once, rather than being cut. */
+  /** Moves runs that cannot finish before the removal of their engine, which would interrupt them. */
   moveFromLeavingEngines (): void {
     for (const run of this._options.runs) {
       const { engine } = run
@@ -152,13 +152,13 @@
     }
   }
 
-  /** Time until an engine is taken away, as it said when it began to leave. */
+  /** Time from its notice until a leaving engine is removed; undefined for other engines. */
   private _leavesInMs ({ id }: Engine): number | undefined {
     const endpoint = this._options.view.endpoint(id)
     return endpoint?.lifecycle === EndpointLifecycle.Leaving ? endpoint.leavesInMs : undefined
   }
 
-  /** Whether a run had better go on at another engine; room is only left for that when nothing waits for it. */
+  /** Whether a run should move to another engine; never while items wait, which get free slots first. */
   shouldMove (run: ItemRun, engine: Engine): boolean {
     if (this._waiting.length > 0 || this.isOverloaded) return false
     const others = this._fittingEngines(run).filter(other => other !== engine && !run.avoids(other) && other.mayRun(run.item.model) && other.pace.expectedGapMs !== undefined)
@@ -166,7 +166,7 @@
     return fastest !== undefined && movingGainMs(engine, fastest, this._estimateOf(run)) > 0
   }
 
-  /** Gives slots to what waits, as far as there is room. */
+  /** Assigns free slots to waiting items. */
   assign (): void {
     if (this._waiting.length === 0 || this._isPaused || !this._pacing.mayStart) return
     const { clock, engines, placementOf } = this._options
@@ -191,7 +191,7 @@
     this._waiting = remaining
   }
 
-  /** What the order depends on does not change while an item waits, so it is sorted only after others came. */
+  /** Waiting items in order. Their sort keys do not change while they wait, so the list is sorted only after items were added. */
   private _sortedWaiting (): WaitingRun[] {
     if (this._isSorted) return this._waiting
     const keyed = this._waiting.map(waiting => ({ waiting, key: sortKeyOf(waiting.run) }))
@@ -201,9 +201,9 @@
   }
 
   /**
-   * Gives a free slot to the run on a slower engine that gains most by it,
-   * ahead of what waits, which gets the slot that the run leaves: the longest
-   * samples decide when a step ends.
+   * Gives a free slot to the run on a slower engine that gains most by it, ahead of
+   * waiting items, which get the slot that the run leaves. The longest samples
+   * determine when a step ends.
    */
   private _offerSlotToRunning (engine: Engine): void {
     if (this.isOverloaded || !engine.isSound || engine.freeSlotsCount === 0 || !this._isReady(engine)) return
@@ -212,7 +212,7 @@
     let movingRun: ItemRun | undefined
     let maxGainMs = 0
     for (const run of this._options.runs) {
-      // One without an event is most likely only about to begin.
+      // A run without events has most likely only just started.
       if (!run.isStarted || !run.engine || !slower.has(run.engine)) continue
       const gainMs = this._gainMs(run, run.engine, engine)
       if (gainMs <= maxGainMs) continue
@@ -225,7 +225,7 @@
     movingRun.move()
   }
 
-  /** What a run saves by going on at an engine; 0 when it had better stay. */
+  /** Time that a run saves by moving to an engine; 0 when it should stay. */
   private _gainMs (run: ItemRun, from: Engine, to: Engine): number {
     if (this._reserved.has(run) || !to.mayBegin(run.item.model) || !this._fits(run, to) || run.avoids(to)) return 0
     return movingGainMs(from, to, this._estimateOf(run))
@@ -245,20 +245,20 @@
     })
   }
 
-  /** Sound engines whose weights may make the item, with room or without. */
+  /** Healthy engines whose weights are new enough for the item, with a free slot or without. */
   private _fittingEngines (run: ItemRun): Engine[] {
     const placement = this._options.placementOf(run)
     if (!placement) return []
     return this._options.engines.ofService(placement.service).filter(engine => engine.mayBegin(run.item.model) && this._fits(run, engine))
   }
 
-  /** Whether an engine belongs to the run's service, with weights that may go on with it. */
+  /** Whether an engine belongs to the service of a run and has weights that are new enough for it. */
   private _fits (run: ItemRun, engine: Engine): boolean {
     if (engine.endpoint.service !== this._options.placementOf(run)?.service) return false
     return engine.version(run.item.model) >= run.batch.submission.minVersion
   }
 
-  /** An engine that leaves finishes its runs, and gives up their slots, but gets nothing new. */
+  /** Whether an engine accepts new runs; a leaving one only finishes those it has. */
   private _isReady (engine: Engine): boolean {
     return this._options.view.endpoint(engine.id)?.lifecycle === EndpointLifecycle.Ready
   }
@@ -271,12 +271,12 @@
     }
   }
 
-  /** Events that its submitter still expects. */
+  /** Remaining events by the hint of the submitter. */
   private _hintedRemainingEventsCount (run: ItemRun): number {
     return run.remainingTokensCount / this._tokensPerEvent(run)
   }
 
-  /** Time that a run still needs for its events. */
+  /** Estimated time that a run still needs. */
   private _remainingMs (run: ItemRun): number {
     return expectedEventsCount(this._estimateOf(run)) * this._assumedGapMs(run)
   }
@@ -295,7 +295,7 @@
   }
 }
 
-/** What the order depends on, read once for a round. */
+/** Copies the properties that determine the order, so that sorting reads them once per item. */
 function sortKeyOf ({ isStarted, isCarriedOver, dueAtMs, remainingTokensCount, priority }: ItemRun): WaitingItem {
   return { isStarted, isCarriedOver, dueAtMs, remainingTokensCount, priority }
 }
--- a/src/batches/slotSharing.ts
+++ b/src/batches/slotSharing.ts
@@ -1,47 +1,47 @@
 /**
- * How many slots of an engine short items may take at a time. An engine makes
- * every event later the more runs it has: 37 ms for an event alone, 42 beside
- * eleven others. A step ends with its longest sample, some 187 events, so that
- * the short items of three trainers which all begin at once cost each step
- * 0.9 s that nobody gains by: a short item has seconds to spare. So what can
- * wait is spread over the time until the next steps are asked for, as thinly as
- * still gets all of it done. Together with the order of a batch it lets samples of
- * 120 events and more end 0.2 s earlier (median of 390, of 7 s). Pure functions.
+ * How many slots of an engine short items may occupy at a time. Each event takes
+ * longer the more runs an engine has: 37 ms for a single run, 42 ms beside eleven
+ * others. A step ends with its longest sample, about 187 events, so starting the short
+ * items of three trainers all at once delays each step by 0.9 s without a benefit, as
+ * short items have seconds of slack. Deferrable items are therefore spread as thinly
+ * as possible over the time until the next steps are expected. Together with the order
+ * of items, samples of 120 events and more end 0.2 s earlier (median of 390 samples
+ * that take 7 s). Pure functions.
  */
 
-/** An item that may wait, as far as that depends on it. */
+/** The properties of an item that determine how long its start can be deferred. */
 export interface DeferrableItem {
-  /** When the longest sample of its batch is expected to end: until then, its trainer waits anyway. */
+  /** When the longest sample of its batch is expected to end; its trainer waits until then anyway. */
   longestEndsAtMs: number
-  /** Events that are still to be made, as far as its submitter can tell. */
+  /** Events still to be generated, by the submitter's estimate. */
   remainingEventsCount: number
 }
 
-/** Hints are right at the median; with the spread of 0.5 that the users give them, 29 of 30 samples are shorter than this many times their hint (worked out, not counted). */
+/** Hints are right at the median. With a spread of 0.5, as in the known deployments, 29 of 30 samples should be shorter than this many times their hint (calculated). */
 const HINT_ERROR_FACTOR = 2.5
-/** Events beyond that, for hints of a few events: what is started too late holds up its whole group. */
+/** Events added to that, for hints of a few events; an item that starts too late delays its whole group. */
 const HINT_ERROR_EVENTS_COUNT = 40
 
-/** The instant until which an item loses nothing by waiting, even if it is as long as its hint may be wrong. */
+/** The time until which the start of an item can be deferred without delaying its batch, allowing for errors of its hint. */
 export function deferrableUntilMs ({ longestEndsAtMs, remainingEventsCount }: DeferrableItem, gapMs: number): number {
   return longestEndsAtMs - (HINT_ERROR_FACTOR * remainingEventsCount + HINT_ERROR_EVENTS_COUNT) * gapMs
 }
 
 export interface OpenWork {
-  /** Time that all open items need for their events, one after the other. */
+  /** Total time that all open items need for their events. */
   workMs: number
   /** Time until the next steps are expected. */
   horizonMs: number
-  /** Engines that may run what waits. */
+  /** Engines that may run the waiting items. */
   enginesCount: number
   slotsCount: number
 }
 
 /**
- * Slots of each engine up to which patient items begin: as many as all open
- * work needs to be done by the horizon, and more than half at least, because
- * up to there an engine loses little (0.4 ms an event for each run beside, from 37
- * and 42 ms for one run and twelve).
+ * Runs of each engine up to which deferrable items start: as many as are needed to
+ * finish all open work by the horizon, and at least one more than half the slots,
+ * because up to there an engine loses little speed (0.4 ms per event for each further
+ * run, from 37 and 42 ms for one run and twelve).
  */
 export function slotsForDeferrable ({ workMs, horizonMs, enginesCount, slotsCount }: OpenWork): number {
   const neededCount = Math.ceil(workMs / Math.max(1, horizonMs) / Math.max(1, enginesCount))
--- a/src/batches/startPacing.ts
+++ b/src/batches/startPacing.ts
@@ -1,24 +1,24 @@
 /**
- * How many runs a leader begins at a time. It begins as many a second as its
- * processor takes, which shows in its own timers: while they are late, it
- * begins none and moves none, and what runs comes to its end.
+ * Limits how many runs a leader starts at a time. Late timers show that its processor
+ * is overloaded; while they are late, the leader starts and moves no runs, and those
+ * in progress come to their end.
  *
- * The load that it answers is the steps of several trainers at once, begun by
- * a leader whose processor they fill: some four hundred items before 250 slots
- * took two to three times the processor that a store host has. Begun all at
- * once, the events of all runs came in one turn of the event loop that lasted
- * for seconds; no heartbeat went out, another host was elected, and it had the
- * same to begin. Eleven to twenty-seven leaders in under a minute came of it.
+ * This guards against steps of several trainers that start at once and saturate the
+ * processor of the leader: about four hundred items for 250 slots needed two to three
+ * times the processor capacity of a store host. When all of them started at once,
+ * their events were handled in one turn of the event loop that lasted for seconds. No
+ * heartbeat was sent, another host was elected and met the same load: eleven to
+ * twenty-seven leaders in less than a minute.
  */
 import type { Clock } from '../utils/clock.js'
 
-/** Runs are begun in turns this long. */
+/** Interval between the turns in which runs start. */
 export const TURN_MS = 20
-/** Eight hundred a second: a burst that fills 250 slots takes 0.3 s, a small part of a step. */
+/** Equals eight hundred starts per second: filling 250 slots takes 0.3 s, a small part of a step. */
 const STARTS_PER_TURN_COUNT = 16
-/** However late it is, it begins one run after so long: what keeps it busy may not be runs. */
+/** An overloaded leader still starts one run per interval, because the load may not come from runs. */
 const OVERLOADED_START_INTERVAL_MS = 200
-/** A timer this late is held up by work: well under the time that followers wait for a heartbeat (600 ms), well over what a collection of garbage takes. */
+/** A timer later than this means overload: well below the time that followers wait for a heartbeat (600 ms), well above a garbage collection pause. */
 const OVERLOAD_LATENESS_MS = 60
 
 export class StartPacing {
@@ -33,12 +33,12 @@
     this._dueAtMs = clock.nowMs() + TURN_MS
   }
 
-  /** When the next turn is due. */
+  /** When `beginTurn` has to be called next. */
   get dueAtMs (): number {
     return this._dueAtMs
   }
 
-  /** This host is held up: its last timer was late, or the next one is. */
+  /** Whether the host is overloaded: the last turn was late, or the next one is overdue. */
   get isOverloaded (): boolean {
     return this._isLate || this._latenessMs() > OVERLOAD_LATENESS_MS
   }
@@ -53,7 +53,7 @@
     this._lastStartAtMs = this._clock.nowMs()
   }
 
-  /** To be called by a timer at the instant that was due; how late it was. */
+  /** Has to be called by a timer at `dueAtMs`; returns the delay of the call in milliseconds. */
   beginTurn (): number {
     const latenessMs = this._latenessMs()
     this._isLate = latenessMs > OVERLOAD_LATENESS_MS
--- a/src/batches/stepReports.ts
+++ b/src/batches/stepReports.ts
@@ -1,8 +1,8 @@
 /**
- * What each open step waits for, and why: a line a second and gauges, so that a
- * trainer that stands still can be traced to the engines, the slots, the scoring or
- * the log. Items are counted by their stage; those without an engine also by the
- * reason that keeps them from one.
+ * Reports what each open step waits for, by a log line per second and by gauges, so
+ * that a stalled trainer can be traced to the engines, the slots, the scoring or the
+ * log. Items are counted by stage, and queued items also by the reason for which they
+ * have no slot.
  */
 import type { Clock } from '../utils/clock.js'
 import { everySecond } from '../utils/everySecond.js'
@@ -13,44 +13,44 @@
 import type { Batch } from './batch.js'
 import { BatchEvent } from './batchEvents.js'
 
-/** Where an item is on its way to its place in the list. */
+/** Stage of an item on its way to the list of results. */
 export enum ItemStage {
-  /** It waits for a slot of an engine. */
+  /** Waits for a slot of an engine. */
   Queued = 'queued',
   Running = 'running',
-  /** A run of it failed a moment ago. */
+  /** Pauses after a failed run. */
   Pausing = 'pausing',
-  /** Engines ended under it: it goes to none. */
+  /** Quarantined after engines crashed while running it; sent to no engine. */
   Withheld = 'held_back',
   Scoring = 'scoring',
-  /** Its result is being put into the log. */
+  /** Its result is being committed to the replicated log. */
   Committing = 'committing'
 }
 
-/** What keeps an item that waits for a slot from having one. */
+/** Why a queued item has no slot. */
 export enum WaitReason {
   NoRoute = 'no_route',
-  /** The service has no engine that takes new work. */
+  /** The service has no engine that accepts new runs. */
   NoEngine = 'no_engine',
-  /** No engine has weights new enough. */
+  /** No engine has weights that are new enough. */
   NoVersion = 'no_version',
-  /** All that have the weights are left out after failures, full by their own word, or loading. */
+  /** All engines with these weights are ejected after failures, report that they are full, or are loading weights. */
   EnginesUnfit = 'engines_unfit',
   NoSlot = 'no_slot',
-  /** There is a slot, and the item waits for a better one or for its turn. */
+  /** A slot is free, but the item waits for a better one or for its turn. */
   Turn = 'turn'
 }
 
-/** An item as far as the report goes. */
+/** The properties of an item that are reported. */
 export interface ReportedItem {
   batch: Batch
   stage: ItemStage
 }
 
-/** A step that this host runs. */
+/** A step that is running at this host. */
 export interface ReportedStep {
   batch: Batch
-  /** When this host began to run it. */
+  /** When this host started to run the step. */
   startedAtMs: number
   dueAtMs: number
 }
@@ -60,7 +60,7 @@
   logger: Logger
   metrics: Metrics
   steps: () => ReportedStep[]
-  /** Every item that is not listed yet. */
+  /** All items that are not listed yet. */
   items: () => Iterable<Item>
   waitReasonOf: (item: Item) => WaitReason
 }
@@ -69,7 +69,7 @@
 
 export class StepReports<Item extends ReportedItem> {
   private readonly _options: StepReportsOptions<Item>
-  /** Models that a gauge was set for. */
+  /** Models whose gauges were set; they are reset to 0 once a model has no open step. */
   private readonly _models = new Set<string>()
 
   constructor (options: StepReportsOptions<Item>) {
