--- a/tests/batches/assignmentRound.test.ts
+++ b/tests/batches/assignmentRound.test.ts
@@ -9,9 +9,9 @@
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
 /**
- * The load that these tests stand for: four trainers whose steps of a hundred
- * items and more are open two at a time, before 31 engines of eight slots, and a
- * leader of the store that may not be busy for half a second.
+ * The load behind these tests: four trainers, each with two open steps of a hundred
+ * items or more, 31 engines of eight slots, and a store leader whose event loop must
+ * not be blocked for half a second.
  */
 const SLOTS_COUNT = 8
 const TOKENS_PER_EVENT = 50
@@ -20,12 +20,12 @@
   round: AssignmentRound
   engines: Engine[]
   runs: ItemRun[]
-  counts: { engines: number, patient: number, health: number }
+  counts: { engines: number, deferrable: number, health: number }
 }
 
 function world (batchesCount: number, itemsCount: number, enginesCount = 31): World {
   const clock = new VirtualClock()
-  const counts = { engines: 0, patient: 0, health: 0 }
+  const counts = { engines: 0, deferrable: 0, health: 0 }
   const engines = Array.from({ length: enginesCount }, (_value, position) => {
     const health = new EndpointHealth({ clock })
     Object.defineProperty(health, 'isSuspect', { get: () => { counts.health++; return false } })
@@ -46,7 +46,7 @@
       return engines
     },
     deferrableSlotsOf: () => {
-      counts.patient++
+      counts.deferrable++
       return 5
     }
   })
@@ -64,23 +64,23 @@
   return assignedCount
 }
 
-test('should look at the engines once for each batch, however many items wait', t => {
+test('should read the engines once per batch, however many items wait', t => {
   const few = world(8, 10)
   const many = world(8, 112)
   assignAll(few)
   assignAll(many)
   t.is(many.counts.engines, 8)
-  t.is(many.counts.patient, 1)
-  t.is(many.counts.health, few.counts.health, 'the same looks for ten times the items')
+  t.is(many.counts.deferrable, 1)
+  t.is(many.counts.health, few.counts.health, 'as many reads for ten times the items')
 })
 
-test('should fill no engine beyond what items that can wait may take, and spread them evenly', t => {
+test('should fill no engine beyond the limit for deferrable items, and spread them evenly', t => {
   const all = world(1, 500)
   t.is(assignAll(all), 31 * 5)
   t.deepEqual(new Set(all.engines.map(({ runningCount }) => runningCount)), new Set([5]))
 })
 
-test('should give an item that cannot wait a slot that those that can had to leave', t => {
+test('should give an item that cannot be deferred a slot that deferrable items may not take', t => {
   const all = world(1, 200)
   assignAll(all)
   const [first] = all.runs
@@ -88,7 +88,7 @@
   t.truthy(all.round.engineFor(urgent, 0))
 })
 
-/** One engine is free and much slower than all others, which are full: long items wait for those. */
+/** One engine is free and much slower than all others, which are full, so that long items wait for those. */
 function worldBesideSlowEngine (itemsCount: number): World & { readsCount: () => number } {
   const all = world(1, itemsCount)
   let readsCount = 0
@@ -112,7 +112,7 @@
   const many = worldBesideSlowEngine(1_000)
   t.is(assignAll(few), 0)
   t.is(assignAll(many), 0)
-  t.is(many.readsCount(), few.readsCount(), 'the same comparisons for a hundred times the items')
+  t.is(many.readsCount(), few.readsCount(), 'as many comparisons for a hundred times the items')
 })
 
 test('should compare the engines anew once a slot was taken', t => {
--- a/tests/batches/batchClient.test.ts
+++ b/tests/batches/batchClient.test.ts
@@ -6,17 +6,17 @@
 const full = { kind: 'refused', reason: 'the batch store is full', isFinal: true } as const
 const unknown = { kind: 'unknown', reason: 'not committed in time' } as const
 
-test('should not say that a batch was refused when an earlier call was lost and may still commit', async t => {
+test('should not report a batch as refused when an earlier call was lost and may still commit', async t => {
   const store = new FakeStore()
   await store.addHost('10.0.0.1', [SILENT, refused], true)
   await store.addHost('10.0.0.2', [refused])
   const reply = await store.submit(DEADLINE_MS)
   t.is(reply.kind, 'unknown')
-  t.true(store.askedHosts.length > 1, 'it was asked again')
+  t.true(store.askedHosts.length > 1, 'the call was retried')
   store.close()
 })
 
-test('should not say that a batch was refused when the leader could not tell of an earlier call', async t => {
+test('should not report a batch as refused when the outcome of an earlier call is unknown', async t => {
   const store = new FakeStore()
   await store.addHost('10.0.0.1', [unknown, refused], true)
   const reply = await store.submit(DEADLINE_MS)
@@ -24,7 +24,7 @@
   store.close()
 })
 
-test('should ask again after a refusal, and say that the batch was taken when it was', async t => {
+test('should retry after a refusal, and report the batch as accepted when it was', async t => {
   const store = new FakeStore()
   await store.addHost('10.0.0.1', [refused, { kind: 'notLeader', leaderAddress: '10.0.0.2:1' }], true)
   await store.addHost('10.0.0.2', [{ kind: 'accepted' }])
@@ -32,7 +32,7 @@
   store.close()
 })
 
-test('should not ask again when the leader refuses for good, and say why', async t => {
+test('should not retry after a final refusal, and return its reason', async t => {
   const store = new FakeStore()
   await store.addHost('10.0.0.1', [full, { kind: 'accepted' }], true)
   t.like(await store.submit(DEADLINE_MS), { kind: 'refused', reason: full.reason })
@@ -40,7 +40,7 @@
   store.close()
 })
 
-test('should not ask again when the leader refuses for good after a lost call, nor say that the batch was refused', async t => {
+test('should not retry after a final refusal that follows a lost call, nor report the batch as refused', async t => {
   const store = new FakeStore()
   await store.addHost('10.0.0.1', [SILENT, full, { kind: 'accepted' }], true)
   t.is((await store.submit(DEADLINE_MS)).kind, 'unknown')
@@ -48,28 +48,28 @@
   store.close()
 })
 
-test('should ask again after a lost call, and say that the batch was taken when it was', async t => {
+test('should retry after a lost call, and report the batch as accepted when it was', async t => {
   const store = new FakeStore()
   await store.addHost('10.0.0.1', [SILENT, { kind: 'accepted' }], true)
   t.deepEqual(await store.submit(DEADLINE_MS), { kind: 'accepted' })
   store.close()
 })
 
-test('should say that a batch was refused when every call was', async t => {
+test('should report a batch as refused when every call was refused', async t => {
   const store = new FakeStore()
   await store.addHost('10.0.0.1', [refused], true)
   t.deepEqual(await store.submit(DEADLINE_MS), refused)
   store.close()
 })
 
-test('should say that a batch was refused when no host of the store is known', async t => {
+test('should report a batch as refused when no host of the store is known', async t => {
   const store = new FakeStore()
   t.is((await store.submit(DEADLINE_MS)).kind, 'refused')
   t.deepEqual(store.askedHosts, [])
   store.close()
 })
 
-test('should go on reading at the leader soon after a replica close by has died, and leave that one out for a while', async t => {
+test('should soon read from the leader after a nearby replica has died, and not use that replica for a while', async t => {
   const store = new FakeStore()
   const nearby = await store.addReader('10.0.0.1', 'north')
   const leader = await store.addReader('10.0.0.2', 'south')
@@ -96,7 +96,7 @@
   store.close()
 })
 
-test('should not read at a store host that holds no replica, and at the replicas elsewhere in turn', async t => {
+test('should not read from a store host without a replica, and use the replicas in other data centres in turn', async t => {
   const store = new FakeStore()
   const first = await store.addReader('10.0.0.1', 'east')
   const second = await store.addReader('10.0.0.2', 'south')
--- a/tests/batches/batchReports.test.ts
+++ b/tests/batches/batchReports.test.ts
@@ -35,16 +35,16 @@
   commands.forEach((command, position) => state.apply(command, { index: position + 1, atMs }))
 }
 
-test('should show the batches and unfinished outputs that are held', t => {
+test('should set gauges for the batches and unfinished outputs that are held', t => {
   const state = new BatchState()
   const metrics = memoryMetrics()
-  const keep: BatchCommand = { kind: BatchCommandKind.Progress, batchId: 'b2', itemId: 'i2', afterEventId: 0, parts: [toPart(['a'], [1])] }
-  applyAll(state, [submit(submission('b1', ['i1'])), submit(submission('b2', ['i2'])), keep, { kind: BatchCommandKind.End, batchId: 'b1' }], 0)
+  const progress: BatchCommand = { kind: BatchCommandKind.Progress, batchId: 'b2', itemId: 'i2', afterEventId: 0, parts: [toPart(['a'], [1])] }
+  applyAll(state, [submit(submission('b1', ['i1'])), submit(submission('b2', ['i2'])), progress, { kind: BatchCommandKind.End, batchId: 'b1' }], 0)
   setBatchGauges(state, metrics)
   t.deepEqual(metrics.snapshot(), { 'batches.open': 1, 'batches.held': 2, 'outputs.unfinished': 1 })
 })
 
-test('should tell of a batch that is forgotten, with the clocks that decided', t => {
+test('should log an expired batch, with the times that decided its removal', t => {
   const { logger, events } = recorder()
   const state = new BatchState({ onOrder: () => {}, onNamed: () => {}, onForgotten: (batch, decidedAtMs) => reportForgotten(logger, batch, decidedAtMs) })
   applyAll(state, [submit(submission('b1', ['i1'])), submit(submission('b2', ['i2'])), { kind: BatchCommandKind.End, batchId: 'b1' }], 1_000)
@@ -58,7 +58,7 @@
   }])
 })
 
-test('should tell once of a batch that is asked for and not held, by whichever call', async t => {
+test('should log a requested batch that is not held once, whichever call requests it', async t => {
   const world = await new StoreWorld({ engines: [] }).start()
   const { logger, events } = recorder()
   const handlers = new RpcHandlers()
@@ -70,7 +70,7 @@
   await world.submit(submission('held', ['i1']))
   await call(readResultsMethod.name, { batchId: 'held', fromPosition: 0, waitMs: 0 })
   t.deepEqual(events, [])
-  for (let asked = 0; asked < 3; asked++) {
+  for (let attempt = 0; attempt < 3; attempt++) {
     t.deepEqual(await call(readResultsMethod.name, { batchId: 'lost', fromPosition: 0, waitMs: 0 }), { kind: 'unknownBatch' })
   }
   t.deepEqual(await call(readItemMethod.name, { batchId: 'lost-item', itemId: 'i1' }), { kind: 'absent' })
@@ -86,7 +86,7 @@
   world.close()
 })
 
-test('should remember only so many batches that it told of', async t => {
+test('should limit the number of unknown batches that it remembers as logged', async t => {
   const world = await new StoreWorld({ engines: [] }).start()
   const { logger, events } = recorder()
   const unknown = new UnknownBatchReporter(world.replica, logger)
--- a/tests/batches/batchState.test.ts
+++ b/tests/batches/batchState.test.ts
@@ -23,7 +23,7 @@
   return commands.map((command, position) => state.apply(command, { index: position + 1, atMs }))
 }
 
-test('should take a batch once that is submitted twice', t => {
+test('should accept a batch once that is submitted twice', t => {
   const state = new BatchState()
   applyAll(state, [submit(submission('b1', ['i1'])), finish('b1', result('i1', 'one')), submit(submission('b1', ['i1']))])
   t.is(state.get('b1')?.results.length, 1)
@@ -49,36 +49,36 @@
   t.is(state.get('b1')?.openItem('i1'), undefined)
 })
 
-test('should put a result together from what was kept and what came last', t => {
+test('should assemble a result from the stored output and the events that follow it', t => {
   const state = new BatchState()
-  const keep = (afterEventId: number, data: string[]): BatchCommand => (
+  const progress = (afterEventId: number, data: string[]): BatchCommand => (
     { kind: BatchCommandKind.Progress, batchId: 'b1', itemId: 'i1', afterEventId, parts: [toPart(data, [1])] }
   )
   const outcomes = applyAll(state, [
-    submit(submission('b1', ['i1'])), keep(0, ['a', 'b']), keep(2, ['c']), keep(2, ['wrong']), finish('b1', result('i1', 'd'), 2), finish('b1', result('i1', 'd'), 3)
+    submit(submission('b1', ['i1'])), progress(0, ['a', 'b']), progress(2, ['c']), progress(2, ['wrong']), finish('b1', result('i1', 'd'), 2), finish('b1', result('i1', 'd'), 3)
   ])
   t.deepEqual(outcomes.map(({ kind }) => kind), ['accepted', 'kept', 'kept', 'mismatch', 'mismatch', 'listed'])
   t.is(textOf(state.get('b1')?.results[0]?.parts ?? []), 'a\nb\nc\nd')
   t.deepEqual(state.unfinishedParts('i1'), [])
 })
 
-test('should keep what an item made for its return in a later batch', t => {
+test('should keep the output and the result of an item for a later batch with the same item', t => {
   const state = new BatchState()
-  const keep: BatchCommand = { kind: BatchCommandKind.Progress, batchId: 'b1', itemId: 'i1', afterEventId: 0, parts: [toPart(['a'], [1])] }
-  applyAll(state, [submit(submission('b1', ['i1', 'i2'])), keep, finish('b1', result('i2', 'x')), { kind: BatchCommandKind.End, batchId: 'b1' }, submit(submission('b2', ['i1', 'i2']))])
+  const progress: BatchCommand = { kind: BatchCommandKind.Progress, batchId: 'b1', itemId: 'i1', afterEventId: 0, parts: [toPart(['a'], [1])] }
+  applyAll(state, [submit(submission('b1', ['i1', 'i2'])), progress, finish('b1', result('i2', 'x')), { kind: BatchCommandKind.End, batchId: 'b1' }, submit(submission('b2', ['i1', 'i2']))])
   t.is(textOf(state.unfinishedParts('i1')), 'a')
   const item = state.get('b2')?.openItem('i2')
   t.is(item && textOf(state.completedResult(item)?.parts ?? []), 'x')
 })
 
-// Guards against output of one account that an item with the same id of another account would get.
-test('should give no account what an item of another account has made, and let none read or end its batches', t => {
+// Guards against an item that gets the output of another account's item with the same id.
+test('should not give an account the output of an item of another account, nor let it read or end batches of that account', t => {
   const state = new BatchState()
   const own = submission('b1', ['i1', 'i2'], { account: 'learners' })
-  const keep: BatchCommand = { kind: BatchCommandKind.Progress, batchId: 'b1', itemId: 'i1', afterEventId: 0, parts: [toPart(['a'], [1])] }
+  const progress: BatchCommand = { kind: BatchCommandKind.Progress, batchId: 'b1', itemId: 'i1', afterEventId: 0, parts: [toPart(['a'], [1])] }
   const outcomes = applyAll(state, [
     submit(own),
-    keep,
+    progress,
     finish('b1', result('i2', 'x')),
     { kind: BatchCommandKind.End, batchId: 'b1', account: 'trainers' },
     { kind: BatchCommandKind.End, batchId: 'b1' },
@@ -94,11 +94,11 @@
   t.is(state.get('b1')?.isAccessibleBy('trainers'), false)
 })
 
-test('should hold accounts, what was kept in their names and orders for engines over a snapshot', t => {
+test('should keep accounts, their stored outputs and orders for engines across a snapshot', t => {
   const state = new BatchState()
   const order = { service: 'engines', dataCentre: 'north', isReclaimable: true, desiredCount: 4 }
-  const keep: BatchCommand = { kind: BatchCommandKind.Progress, batchId: 'b1', itemId: 'i1', afterEventId: 0, parts: [toPart(['a'], [1])] }
-  applyAll(state, [submit(submission('b1', ['i1'], { account: 'learners' })), keep, { kind: BatchCommandKind.ClaimSupply, holder: 's1' }, { kind: BatchCommandKind.OrderSupply, ...order }])
+  const progress: BatchCommand = { kind: BatchCommandKind.Progress, batchId: 'b1', itemId: 'i1', afterEventId: 0, parts: [toPart(['a'], [1])] }
+  applyAll(state, [submit(submission('b1', ['i1'], { account: 'learners' })), progress, { kind: BatchCommandKind.ClaimSupply, holder: 's1' }, { kind: BatchCommandKind.OrderSupply, ...order }])
   const restored = new BatchState()
   restored.restore(structuredClone([...state.snapshot()]))
   t.is(restored.get('b1')?.submission.account, 'learners')
@@ -115,7 +115,7 @@
   t.is(item && state.completedResult(item), undefined)
 })
 
-test('should forget batches when their time is over, and not before', t => {
+test('should remove batches when their retention time is over, and not before', t => {
   const state = new BatchState()
   applyAll(state, [submit(submission('b1', ['i1'])), { kind: BatchCommandKind.End, batchId: 'b1' }], 0)
   applyAll(state, [submit(submission('b2', ['i2']))], KEEP_MS)
@@ -126,8 +126,8 @@
 
 test('should be the same after a snapshot was restored', t => {
   const state = new BatchState()
-  const keep: BatchCommand = { kind: BatchCommandKind.Progress, batchId: 'b1', itemId: 'i2', afterEventId: 0, parts: [toPart(['a'], [1])] }
-  applyAll(state, [submit(submission('b1', ['i1', 'i2'])), finish('b1', result('i1', 'x')), keep])
+  const progress: BatchCommand = { kind: BatchCommandKind.Progress, batchId: 'b1', itemId: 'i2', afterEventId: 0, parts: [toPart(['a'], [1])] }
+  applyAll(state, [submit(submission('b1', ['i1', 'i2'])), finish('b1', result('i1', 'x')), progress])
   const copy = new BatchState()
   copy.restore([...state.snapshot()])
   t.deepEqual([...copy.snapshot()], [...state.snapshot()])
@@ -135,7 +135,7 @@
   t.is(textOf(copy.unfinishedParts('i2')), 'a')
 })
 
-test('should hold of a listed item its result and the id of its reward call only', t => {
+test('should hold only the result and the id of the reward call of a listed item', t => {
   const state = new BatchState()
   applyAll(state, [submit(submission('b1', ['i1', 'i2'])), finish('b1', result('i1', 'x'))])
   const held = JSON.stringify([...state.snapshot()])
@@ -151,7 +151,7 @@
   t.is(item && textOf(copy.completedResult(item)?.parts ?? []), 'x')
 })
 
-test('should hold no item of an ended batch, but what it listed, and how many it had', t => {
+test('should hold no items of an ended batch, but its results and the number of its items', t => {
   const state = new BatchState()
   applyAll(state, [submit(submission('b1', ['i1', 'i2', 'i3'])), finish('b1', result('i1', 'x')), { kind: BatchCommandKind.End, batchId: 'b1' }])
   const held = JSON.stringify([...state.snapshot()])
@@ -163,7 +163,7 @@
   t.deepEqual(state.get('b1')?.openItems(), [])
 })
 
-test('should keep the results that it holds in the place of their equals in a snapshot that comes', t => {
+test('should reuse the results that it holds for equal ones in a received snapshot', t => {
   const state = new BatchState()
   applyAll(state, [submit(submission('b1', ['i1', 'i2', 'i3'])), finish('b1', result('i1', 'x'))])
   const ahead = new BatchState()
@@ -176,7 +176,7 @@
   t.deepEqual([...state.snapshot()], [...ahead.snapshot()])
 })
 
-test('should keep the newest version named of each model, and tell of it again after a snapshot', t => {
+test('should keep the newest published version of each model, and notify of it again after a snapshot', t => {
   const named: string[] = []
   const listener = { onOrder: () => {}, onNamed: ({ model, version }: NamedWeights) => named.push(`${model}@${version}`) }
   const state = new BatchState(listener)
--- a/tests/batches/batchStateFuzz.test.ts
+++ b/tests/batches/batchStateFuzz.test.ts
@@ -1,10 +1,9 @@
 /**
- * Random commands against the state of the batch store and a plain oracle:
- * a list of results never changes or loses anything, a body can be read until
- * its item is listed or its batch has ended, a replica that came up from a
- * snapshot is the same as one that applied everything, no command changes a
- * snapshot that was taken before it, and the count of the bytes held is that of
- * a recount.
+ * Applies random commands to the state of the batch store and compares it with a
+ * simple model: listed results never change or disappear, a body can be read until
+ * its item is listed or its batch has ended, a replica restored from a snapshot
+ * equals one that applied all commands, no command changes an earlier snapshot, and
+ * the accounted bytes equal a recount.
  */
 import { isDeepStrictEqual } from 'node:util'
 import test from 'ava'
@@ -17,10 +16,10 @@
 import { submission } from '../fixtures/fleet/batchFixtures.js'
 
 const RUNS_COUNT = 600
-/** Often enough that each kind of command comes after one. */
+/** Often enough that every kind of command follows a snapshot. */
 const SNAPSHOT_EVERY_STEPS = 7
 const KEEP_MS = 1_000_000
-/** Outputs are forgotten after one such step, batches after some. */
+/** Unfinished outputs expire after one such step, batches after several. */
 const LONG_STEP_MS = 40_000
 const ITEM_IDS = ['i0', 'i1', 'i2', 'i3']
 
@@ -52,26 +51,26 @@
   return ITEM_IDS[number] ?? ''
 }
 
-/** Data of an event says which item and place it belongs to. */
+/** Event data that names its item and its position in the output. */
 function dataOf (itemId: string, from: number, eventsCount: number): string[] {
   return Array.from({ length: eventsCount }, (_value, position) => `${itemId}.${from + position + 1}`)
 }
 
-function commandOf (taken: Exclude<Step, { kind: 'restart' }>): BatchCommand {
-  const batchId = batchIdOf(taken.batch)
-  switch (taken.kind) {
+function commandOf (step: Exclude<Step, { kind: 'restart' }>): BatchCommand {
+  const batchId = batchIdOf(step.batch)
+  switch (step.kind) {
     case 'submit':
-      return { kind: BatchCommandKind.Submit, submission: submission(batchId, taken.items.map(itemIdOf)), keepMs: KEEP_MS }
+      return { kind: BatchCommandKind.Submit, submission: submission(batchId, step.items.map(itemIdOf)), keepMs: KEEP_MS }
     case 'end':
       return { kind: BatchCommandKind.End, batchId }
     case 'progress': {
-      const itemId = itemIdOf(taken.item)
-      return { kind: BatchCommandKind.Progress, batchId, itemId, afterEventId: taken.afterEventId, parts: [toPart(dataOf(itemId, taken.afterEventId, taken.count), [1])] }
+      const itemId = itemIdOf(step.item)
+      return { kind: BatchCommandKind.Progress, batchId, itemId, afterEventId: step.afterEventId, parts: [toPart(dataOf(itemId, step.afterEventId, step.count), [1])] }
     }
     case 'finish': {
-      const itemId = itemIdOf(taken.item)
-      const parts = [toPart(dataOf(itemId, taken.afterEventId, taken.count), [1])]
-      return { kind: BatchCommandKind.Finish, batchId, afterEventId: taken.afterEventId, result: { itemId, state: ResultState.Completed, parts, versions: [1], score: 's' } }
+      const itemId = itemIdOf(step.item)
+      const parts = [toPart(dataOf(itemId, step.afterEventId, step.count), [1])]
+      return { kind: BatchCommandKind.Finish, batchId, afterEventId: step.afterEventId, result: { itemId, state: ResultState.Completed, parts, versions: [1], score: 's' } }
     }
   }
 }
@@ -82,11 +81,11 @@
   return copy
 }
 
-/** Lists of results as their readers have seen them. */
-class Readers {
+/** The lists of results as seen by earlier reads. */
+class ResultReaders {
   private readonly _seen = new Map<string, string[]>()
 
-  /** What contradicts an earlier read. */
+  /** Describes the first contradiction to an earlier read; undefined for none. */
   read (state: BatchState): string | undefined {
     for (const batchId of [0, 1, 2].map(batchIdOf)) {
       const list = (state.get(batchId)?.results ?? []).map(({ itemId, parts }) => `${itemId}=${textOf(parts)}`)
@@ -102,11 +101,11 @@
   }
 }
 
-/** Items whose bodies can be asked for, by batch. */
-class Bodies {
+/** Items whose bodies must be readable, by batch. */
+class OpenBodies {
   private readonly _open = new Map<string, Set<string>>()
 
-  note (command: BatchCommand, { kind }: BatchCommandResult): void {
+  record (command: BatchCommand, { kind }: BatchCommandResult): void {
     if (command.kind === BatchCommandKind.Submit) {
       const { batchId, items } = command.submission
       if (!this._open.has(batchId)) this._open.set(batchId, new Set(items.map(({ itemId }) => itemId)))
@@ -115,7 +114,7 @@
     if (command.kind === BatchCommandKind.Finish && kind === 'listed') this._open.get(command.batchId)?.delete(command.result.itemId)
   }
 
-  /** Where a state answers otherwise. */
+  /** Describes the first body that differs in a state; undefined for none. */
   read (state: BatchState): string | undefined {
     for (const [batchId, open] of this._open) {
       for (const itemId of ITEM_IDS) {
@@ -128,7 +127,7 @@
   }
 }
 
-/** Snapshots with what they held when they were taken. */
+/** Snapshots with copies of their content at the time when they were taken. */
 class Snapshots {
   private readonly _taken: { value: SnapshotPieces, copy: unknown[] }[] = []
 
@@ -142,7 +141,7 @@
   }
 }
 
-/** Bytes and characters of all that a value holds. */
+/** Bytes and characters of all strings and byte arrays in a value. */
 function contentBytesOf (value: unknown): number {
   if (typeof value === 'string' || value instanceof Uint8Array) return value.length
   if (typeof value !== 'object' || value === null) return 0
@@ -161,13 +160,13 @@
 test('should count the bytes that it holds, less what was dropped, also after a snapshot', t => {
   fc.assert(fc.property(fc.array(step, { minLength: 20, maxLength: 60, size: 'max' }), steps => {
     let state = new BatchState()
-    for (const [position, taken] of steps.entries()) {
+    for (const [position, current] of steps.entries()) {
       const context = { index: position + 1, atMs: position * LONG_STEP_MS }
       const before = state.heldBytesAt(context.atMs)
-      if (taken.kind === 'restart') state = restarted(state)
-      else state.apply(commandOf(taken), context)
-      if (taken.kind === 'submit' && state.heldBytes < before) throw new Error(`${before} bytes became ${state.heldBytes}`)
-      if (state.heldBytes !== recountOf(state)) throw new Error(`${state.heldBytes} instead of ${recountOf(state)}`)
+      if (current.kind === 'restart') state = restarted(state)
+      else state.apply(commandOf(current), context)
+      if (current.kind === 'submit' && state.heldBytes < before) throw new Error(`a submission reduced the accounted bytes from ${before} to ${state.heldBytes}`)
+      if (state.heldBytes !== recountOf(state)) throw new Error(`${state.heldBytes} bytes accounted, ${recountOf(state)} recounted`)
     }
   }), { numRuns: RUNS_COUNT, seed: 20_261_202 })
   t.pass()
@@ -176,15 +175,15 @@
 test('should answer the body of an item until it is listed or its batch has ended, and change no snapshot afterwards', t => {
   fc.assert(fc.property(fc.array(step, { minLength: 20, maxLength: 60, size: 'max' }), steps => {
     let state = new BatchState()
-    const bodies = new Bodies()
+    const bodies = new OpenBodies()
     const snapshots = new Snapshots()
-    for (const [position, taken] of steps.entries()) {
+    for (const [position, current] of steps.entries()) {
       if (position % SNAPSHOT_EVERY_STEPS === 0) snapshots.take(state)
-      if (taken.kind === 'restart') {
+      if (current.kind === 'restart') {
         state = restarted(state)
       } else {
-        const command = commandOf(taken)
-        bodies.note(command, state.apply(command, { index: position + 1, atMs: position }))
+        const command = commandOf(current)
+        bodies.record(command, state.apply(command, { index: position + 1, atMs: position }))
       }
       const contradiction = bodies.read(state)
       if (contradiction !== undefined) throw new Error(contradiction)
@@ -197,14 +196,14 @@
 test('should never change or lose what was listed, nor list an item twice or with a gap in its text', t => {
   fc.assert(fc.property(fc.array(step, { minLength: 20, maxLength: 60, size: 'max' }), steps => {
     let state = new BatchState()
-    const whole = new BatchState()
-    const readers = new Readers()
-    for (const [position, taken] of steps.entries()) {
-      if (taken.kind === 'restart') {
+    const uninterrupted = new BatchState()
+    const readers = new ResultReaders()
+    for (const [position, current] of steps.entries()) {
+      if (current.kind === 'restart') {
         state = restarted(state)
       } else {
         const context = { index: position + 1, atMs: position }
-        const outcomes = [state, whole].map(replica => replica.apply(commandOf(taken), context))
+        const outcomes = [state, uninterrupted].map(replica => replica.apply(commandOf(current), context))
         if (JSON.stringify(outcomes[0]) !== JSON.stringify(outcomes[1])) throw new Error(`replicas disagree: ${JSON.stringify(outcomes)}`)
       }
       const contradiction = readers.read(state)
@@ -212,16 +211,16 @@
     }
     for (const list of readers.lists()) {
       const ids = list.map(entry => entry.split('=')[0])
-      if (new Set(ids).size !== ids.length) throw new Error(`twice in ${list.join(' ')}`)
-      for (const entry of list) assertWhole(entry)
+      if (new Set(ids).size !== ids.length) throw new Error(`an item is listed twice: ${list.join(' ')}`)
+      for (const entry of list) assertNoGap(entry)
     }
   }), { numRuns: RUNS_COUNT, seed: 20_261_202 })
   t.pass()
 })
 
-function assertWhole (entry: string): void {
+function assertNoGap (entry: string): void {
   const [itemId = '', text = ''] = entry.split('=')
   const events = text.split('\n')
   const expected = dataOf(itemId, 0, events.length)
-  if (events.some((event, position) => event !== expected[position])) throw new Error(`a gap in ${entry}`)
+  if (events.some((event, position) => event !== expected[position])) throw new Error(`output has a gap: ${entry}`)
 }
--- a/tests/batches/deadlyItem.test.ts
+++ b/tests/batches/deadlyItem.test.ts
@@ -1,8 +1,8 @@
 /**
- * An item of a batch under which engines end is sent to no more of them once
- * three have ended, while the others of its batch go on. Seen of single requests
- * (fleet/deadlyRequest); items have the same cause: a run that broke off was
- * repeated on the next engine without end.
+ * Guards against an item that crashes one engine after the other: a run that broke off
+ * was repeated on the next engine without limit. After three crashes the item is sent
+ * to no engine, while the others of its batch continue. fleet/deadlyRequest covers the
+ * same for single requests.
  */
 import test, { type ExecutionContext } from 'ava'
 import { ResultState } from '../../src/protocol/batches.js'
@@ -11,11 +11,11 @@
 import { StoreWorld } from '../fixtures/fleet/storeWorld.js'
 
 const ENGINES_COUNT = 6
-/** The route gives up an item after twelve seconds. */
+/** The route allows an item to be abandoned after twelve seconds. */
 const MAX_QUEUE_MS = 12_000
 const DEADLY = 'deadly'
 
-/** Each engine that runs the item ends with it and everything beside it. */
+/** Each engine that runs the item crashes, together with all its other runs. */
 async function start (t: ExecutionContext): Promise<StoreWorld> {
   const engines = Array.from({ length: ENGINES_COUNT }, (_value, position) => engine(`e${position + 1}`, 1))
   const world = await new StoreWorld({ engines }).start()
@@ -32,15 +32,15 @@
   return endpoints.runs.filter(({ attemptId }) => attemptId === DEADLY).map(({ endpoint }) => endpoint.endpointId)
 }
 
-test('should send an item under which three engines ended to no more of them', async t => {
+test('should send an item that crashed three engines to no further engine', async t => {
   const world = await start(t)
   await world.submit(submission('b1', [DEADLY]))
   await world.clock.advance(MAX_QUEUE_MS / 2)
   t.is(new Set(runsOf(world)).size, 3, `ran on ${runsOf(world).join(', ')}`)
-  t.deepEqual(world.state.get('b1')?.results, [], 'the pages do not let it be given up yet')
+  t.deepEqual(world.state.get('b1')?.results, [], 'the item may not be abandoned yet')
 })
 
-test('should give such an item up when its route lets it, and list the others before', async t => {
+test('should abandon such an item when its route allows it, and list the other items before', async t => {
   const world = await start(t)
   await world.submit(submission('b1', ['i1', DEADLY, 'i2', 'i3']))
   await world.untilListed('b1', 3, 5_000)
--- a/tests/batches/dispatching.test.ts
+++ b/tests/batches/dispatching.test.ts
@@ -12,7 +12,7 @@
   return Array.from({ length: count }, (_value, position) => `event ${from + position}`).join('\n')
 }
 
-test('should run every item, score it once its text is whole, and list it', async t => {
+test('should run every item, score it once its text is complete, and list it', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1), engine('e2', 1)] }).start()
   await world.submit(submission('b1', ['i1', 'i2', 'i3', 'i4', 'i5']))
   await world.untilListed('b1', 5)
@@ -26,7 +26,7 @@
   world.close()
 })
 
-test('should go on behind the last event at another engine when a stream breaks off', async t => {
+test('should resume after the last event at another engine when a stream breaks off', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1), engine('e2', 1)] }).start()
   world.endpoints.onRun = () => ({ eventsCount: 6, gapMs: 10, version: 1, ...(world.endpoints.runs.length === 1 ? { breaksAfterEventId: 4 } : {}) })
   await world.submit(submission('b1', ['i1']))
@@ -37,7 +37,7 @@
   world.close()
 })
 
-test('should leave an engine that falls silent in the middle of a run', async t => {
+test('should leave an engine that stalls in the middle of a run', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1), engine('e2', 1)] }).start()
   world.endpoints.onRun = () => ({ eventsCount: 4, gapMs: world.endpoints.runs.length === 1 ? 60_000 : 10, version: 1 })
   await world.submit(submission('b1', ['i1']))
@@ -46,7 +46,7 @@
   world.close()
 })
 
-test('should go on behind what was kept after a change of leader', async t => {
+test('should resume from the replicated output after a change of leader', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)] }).start()
   world.endpoints.onRun = () => ({ eventsCount: 40, gapMs: 20, version: 1 })
   await world.submit(submission('b1', ['i1']))
@@ -55,12 +55,12 @@
   world.dispatch()
   await world.untilListed('b1', 1)
   const [, second] = world.endpoints.runs
-  t.true((second?.afterEventId ?? 0) >= 16, `goes on behind ${second?.afterEventId}`)
+  t.true((second?.afterEventId ?? 0) >= 16, `resumes after event ${second?.afterEventId}`)
   t.is(textOf(world.state.get('b1')?.results[0]?.parts ?? []), events(40))
   world.close()
 })
 
-test('should go on behind the very last event after a planned change of leader', async t => {
+test('should resume from the very last event after a planned change of leader', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)] }).start()
   world.endpoints.onRun = () => ({ eventsCount: 40, gapMs: 20, version: 1 })
   await world.submit(submission('b1', ['i1', 'i2']))
@@ -75,7 +75,7 @@
   world.close()
 })
 
-test('should keep nothing of an engine whose weights are older than the batch allows', async t => {
+test('should discard events of an engine whose weights are older than the batch allows', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 3), engine('e2', 3)] }).start()
   world.endpoints.onRun = () => ({ eventsCount: 3, gapMs: 10, version: world.endpoints.runs.length === 1 ? 1 : 3 })
   await world.submit(submission('b1', ['i1'], { minVersion: 2 }))
@@ -84,7 +84,7 @@
   world.close()
 })
 
-test('should send nothing to an engine that leaves, nor to one with weights too old', async t => {
+test('should send nothing to a leaving engine, nor to one whose weights are too old', async t => {
   const leaving = engine('e1', 5, { lifecycle: EndpointLifecycle.Leaving })
   const world = await new StoreWorld({ engines: [leaving, engine('e2', 1), engine('e3', 5)], orderLeaseMs: 1_000_000 }).start()
   world.endpoints.onRun = () => ({ eventsCount: 3, gapMs: 10, version: 5 })
@@ -94,7 +94,7 @@
   world.close()
 })
 
-test('should send no item of a batch that has ended, and leave what runs', async t => {
+test('should send no item of an ended batch, and abandon its runs', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)] }).start()
   world.endpoints.onRun = () => ({ eventsCount: 100, gapMs: 50, version: 1 })
   await world.submit(submission('b1', ['i1', 'i2', 'i3', 'i4']))
@@ -107,7 +107,7 @@
   world.close()
 })
 
-test('should give an item up after as many failures as the route allows, and at once when it can never be done', async t => {
+test('should abandon an item after as many failures as its route allows, and at once when it is impossible', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)] }).start()
   world.endpoints.onRun = ({ attemptId }) => (
     { eventsCount: 1, gapMs: 1, version: 1, refuses: attemptId === 'i1' ? { kind: 'failed', status: 500 } : { kind: 'impossible' } }
@@ -120,7 +120,7 @@
   world.close()
 })
 
-test('should list a sample only with a score, and give it up when its reward call has failed for good', async t => {
+test('should list a sample only with a score, and abandon it when its reward call has failed for good', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)] }).start()
   world.endpoints.onCall = ({ attemptId }) => ({ afterMs: 5, outcome: answered(attemptId === 'reward of i1' ? 500 : 200) })
   await world.submit(submission('b1', ['i1', 'i2']))
@@ -131,7 +131,7 @@
   world.close()
 })
 
-test('should let an item that returns keep its result, and its score, when its versions fit', async t => {
+test('should reuse the result and the score of an item that is submitted again, when its versions are new enough', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)] }).start()
   await world.submit(submission('b1', ['i1']))
   await world.untilListed('b1', 1)
@@ -164,10 +164,10 @@
   await world.submit(submission('b1', ['long1', 'long2', ...shorts]))
   await world.untilListed('b1', 26, 20_000)
   const onSlow = world.endpoints.runs.filter(({ endpoint, attemptId }) => endpoint.endpointId === 'e1' && isLong(attemptId))
-  t.true(onSlow.length > 0, 'a long one began on the slow engine')
+  t.true(onSlow.length > 0, 'a long item started on the slow engine')
   for (const { attemptId } of onSlow) {
     const last = world.endpoints.runs.findLast(run => run.attemptId === attemptId)
-    t.is(last?.endpoint.endpointId, 'e2', `${attemptId} went on at the fast engine`)
+    t.is(last?.endpoint.endpointId, 'e2', `${attemptId} continued at the fast engine`)
     t.true((last?.afterEventId ?? 120) < 60, `${attemptId} was moved after event ${last?.afterEventId}`)
   }
   for (const { parts, itemId } of world.state.get('b1')?.results ?? []) t.is(textOf(parts), events(isLong(itemId) ? 120 : 20))
@@ -190,11 +190,11 @@
   world.close()
 })
 
-test('should give no item up by a time of its own while a leader that has just started knows no route yet', async t => {
+test('should abandon no item by a default time while a leader that has just started has no routing configuration', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)], isWithoutRouting: true }).start()
-  const soundAtMs = world.clock.nowMs() + 20_000
+  const recoveredAtMs = world.clock.nowMs() + 20_000
   world.endpoints.onRun = () => (
-    { eventsCount: 3, gapMs: 10, version: 1, ...(world.clock.nowMs() < soundAtMs ? { refuses: { kind: 'broken', reason: 'scripted' } } : {}) }
+    { eventsCount: 3, gapMs: 10, version: 1, ...(world.clock.nowMs() < recoveredAtMs ? { refuses: { kind: 'broken', reason: 'scripted' } } : {}) }
   )
   await world.submit(submission('b1', ['i1']))
   await world.clock.advance(500)
@@ -205,7 +205,7 @@
   world.close()
 })
 
-test('should begin with the longest item of a batch, wherever it stands in it', async t => {
+test('should start with the longest item of a batch, wherever it stands in it', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)] }).start()
   world.endpoints.onRun = () => ({ eventsCount: 10, gapMs: 10, version: 1 })
   const batch = submission('b1', ['i1', 'i2', 'i3', 'i4', 'long'])
@@ -216,7 +216,7 @@
   world.close()
 })
 
-test('should go on with what is furthest after a change of leader, of whatever batch', async t => {
+test('should resume started items first after a change of leader, whatever their batch', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)] }).start()
   world.endpoints.onRun = ({ attemptId }) => ({ eventsCount: attemptId.startsWith('begun') ? 60 : 3, gapMs: 20, version: 1 })
   await world.submit(submission('b1', ['i1', 'i2', 'i3', 'i4']))
@@ -233,7 +233,7 @@
   world.close()
 })
 
-test('should leave an engine that stops in the middle of a run after some of its own gaps, a slow one later', async t => {
+test('should leave a stalled engine after several of its own gaps between events, a slow one later', async t => {
   for (const { gapMs, withinMs } of [{ gapMs: 40, withinMs: 420 }, { gapMs: 100, withinMs: 820 }]) {
     const world = await new StoreWorld({ engines: [engine('e1', 1), engine('e2', 1)] }).start()
     world.endpoints.onRun = () => ({ eventsCount: 30, gapMs, version: 1, ...(world.endpoints.runs.length === 1 ? { stallsAfterEventId: 10 } : {}) })
@@ -241,29 +241,29 @@
     const stalledAtMs = world.clock.nowMs() + 10 * gapMs
     while (world.endpoints.runs.length < 2) await world.clock.advance(10)
     const leftAfterMs = world.clock.nowMs() - stalledAtMs
-    t.true(leftAfterMs >= 8 * gapMs && leftAfterMs <= withinMs + 50, `${leftAfterMs} ms at ${gapMs} ms an event`)
+    t.true(leftAfterMs >= 8 * gapMs && leftAfterMs <= withinMs + 50, `left after ${leftAfterMs} ms at ${gapMs} ms per event`)
     t.is(world.endpoints.runs[1]?.afterEventId, 10)
     world.close()
   }
 })
 
-test('should keep more often what a long run has made, so that a dead leader costs it little', async t => {
-  for (const madeCount of [100, 103, 109]) {
+test('should replicate the output of a long run more often, so that a dead leader loses little of it', async t => {
+  for (const generatedCount of [100, 103, 109]) {
     const world = await new StoreWorld({ engines: [engine('e1', 1)] }).start()
     world.endpoints.onRun = () => ({ eventsCount: 150, gapMs: 40, version: 1 })
     await world.submit(submission('b1', ['i1']))
-    await world.clock.advance(madeCount * 40 + 20)
+    await world.clock.advance(generatedCount * 40 + 20)
     world.stopDispatching()
     world.dispatch()
     await world.clock.advance(100)
-    const keptCount = world.endpoints.runs[1]?.afterEventId ?? 0
-    t.true(madeCount - keptCount <= 7, `${keptCount} of ${madeCount}`)
+    const replicatedCount = world.endpoints.runs[1]?.afterEventId ?? 0
+    t.true(generatedCount - replicatedCount <= 7, `${replicatedCount} of ${generatedCount} events replicated`)
     world.close()
   }
 })
 
-// A run that the host itself ended for its old weights counted as a failure of the engine, and kept other batches from it.
-test('should not leave an engine out for making events of weights that a batch does not allow', async t => {
+// Guards against a run that the host itself ends because of old weights, and that counts as a failure of the engine and ejects it for other batches.
+test('should not eject an engine for events of weights that a batch does not allow', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 3)], orderLeaseMs: 1_000_000 }).start()
   world.endpoints.onRun = () => ({ eventsCount: 3, gapMs: 10, version: 1 })
   await world.submit(submission('b1', ['i1'], { minVersion: 2 }))
@@ -273,8 +273,8 @@
   world.close()
 })
 
-// Items went on asking an address that another endpoint had taken over, until it was heard of.
-test('should ask no engine again whose address another endpoint has', async t => {
+// Guards against items that keep calling an address that another endpoint has taken over, until the fleet view is updated.
+test('should not use an engine again after another endpoint answered at its address', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1), engine('e2', 1)] }).start()
   world.endpoints.onRun = ({ endpoint: { endpointId } }) => ({ eventsCount: 3, gapMs: 10, version: 1, ...(endpointId === 'e1' ? { refuses: { kind: 'misdirected' } } : {}) })
   await world.submit(submission('b1', Array.from({ length: 20 }, (_value, position) => `i${position}`)))
@@ -283,8 +283,8 @@
   world.close()
 })
 
-// An item that waited for a slot was never given up: only a run that ended looked at the time.
-test('should give an item up in its time when no engine ever has the weights for it', async t => {
+// Guards against an item that waits for a slot forever, when its time limit is only checked after a run has ended.
+test('should abandon an item at its time when no engine ever has the weights for it', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)], orderLeaseMs: 1_000_000 }).start()
   world.endpoints.onOrder = () => ({ outcome: { kind: 'refused', status: 503 }, loadMs: 0, isLost: true })
   await world.submit(submission('b1', ['i1'], { minVersion: 9 }))
@@ -296,8 +296,8 @@
   world.close()
 })
 
-// A successor reckoned the times of open batches anew, so that a late batch counted as a fresh one after each change of leader.
-test('should keep the times of a batch over a change of leader', async t => {
+// Guards against a new leader that computes the times of open batches from its own start and treats late batches as fresh ones.
+test('should keep the times of a batch across a change of leader', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1, { slotsCount: 1 })] }).start()
   world.endpoints.onRun = () => ({ eventsCount: 1_000, gapMs: 50, version: 1 })
   await world.submit(submission('b0', ['occupies']))
@@ -313,7 +313,7 @@
   world.close()
 })
 
-test('should give an item up in its time after a change of leader, and not before', async t => {
+test('should abandon an item at its time after a change of leader, and not before', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1)], orderLeaseMs: 1_000_000 }).start()
   world.endpoints.onOrder = () => ({ outcome: { kind: 'refused', status: 503 }, loadMs: 0, isLost: true })
   await world.submit(submission('b1', ['i1'], { minVersion: 9 }))
@@ -326,8 +326,8 @@
   world.close()
 })
 
-// An item was said to be dead after answers that its endpoints gave when their time was up; only a 500 is a failed attempt.
-test('should give no sample up for answers other than 500, of its engines or of its reward call', async t => {
+// Guards against an item that is abandoned because its endpoints timed out: only a 500 counts as a failed attempt.
+test('should abandon no sample for answers other than 500 of its engines or its reward call', async t => {
   const world = await new StoreWorld({ engines: [engine('e1', 1), engine('e2', 1), engine('e3', 1), engine('e4', 1)] }).start()
   let runsCount = 0
   world.endpoints.onRun = () => ({ eventsCount: 3, gapMs: 10, version: 1, ...(++runsCount <= 6 ? { refuses: { kind: 'failed', status: 504 } } : {}) })
--- a/tests/batches/itemOrder.test.ts
+++ b/tests/batches/itemOrder.test.ts
@@ -8,7 +8,7 @@
 const TOKEN_MS = 1
 const clock = new VirtualClock()
 
-/** Gaps after which the pace of an engine counts as seen. */
+/** Gaps after which the pace of an engine is known. */
 const KNOWN_GAPS_COUNT = 4
 
 function waiting (changes: Partial<WaitingItem>): WaitingItem {
@@ -32,20 +32,20 @@
   t.true(compareWaiting(long, short, TOKEN_MS) < 0)
 })
 
-// Guards against items of a less urgent account that wait for as long as there are others.
-test('should let an urgent item go before one with about as much to spare, and before none that has much less', t => {
+// Guards against starvation of items of a less urgent account while there are others.
+test('should let an urgent item precede one with about the same slack, but none with much less', t => {
   t.true(compareWaiting(waiting({ dueAtMs: 7_020 }), waiting({ dueAtMs: 7_000, priority: 1 }), TOKEN_MS) < 0)
   t.true(compareWaiting(waiting({ dueAtMs: 7_200 }), waiting({ dueAtMs: 7_000, priority: 99 }), TOKEN_MS) > 0)
 })
 
-test('should let what is begun, then what has returned, go before all else', t => {
+test('should let started items, then carried-over items, precede all others', t => {
   const items = [waiting({ remainingTokensCount: 6_000 }), waiting({ isCarriedOver: true }), waiting({ isStarted: true })]
   const [first, second] = [...items].sort((left, right) => compareWaiting(left, right, TOKEN_MS))
   t.is(first, items[2])
   t.is(second, items[1])
 })
 
-test('should choose the faster engine, and spread what fills their memory', t => {
+test('should choose the faster engine, and of equally fast ones that with more free memory', t => {
   const fast = paced('e1', 30)
   const slow = paced('e2', 60)
   t.is(fastestEngine([slow, fast], 40, 10_000), fast)
@@ -54,7 +54,7 @@
   t.is(fastestEngine([fast, equal], 40, 10_000), equal)
 })
 
-test('should move a run to an engine that is much faster, not to one that is a little', t => {
+test('should move a run to a much faster engine, not to a slightly faster one', t => {
   t.true(movingGainMs(paced('e1', 150), paced('e2', 40), estimate(10, 50)) > 0)
   t.is(movingGainMs(paced('e1', 44), paced('e2', 40), estimate(10, 500)), 0)
 })
@@ -64,7 +64,7 @@
   t.is(movingGainMs(paced('e1', 150), paced('e2'), estimate(10, 50)), 0)
 })
 
-test('should expect a run that has made much to make more than its submitter thinks', t => {
+test('should expect a run with many events to generate more than its hint', t => {
   const slow = paced('e1', 55)
   const fast = paced('e2', 40)
   t.is(movingGainMs(slow, fast, estimate(10, 0)), 0)
@@ -82,7 +82,7 @@
 test('should expect no more of a run than the longest sample that was seen', t => {
   t.is(expectedEventsCount(estimate(175, 0)), 12)
   t.is(expectedEventsCount(estimate(40, 0)), 30)
-  t.is(expectedEventsCount(estimate(200, 0)), 150, 'it is the longest itself')
+  t.is(expectedEventsCount(estimate(200, 0)), 150, 'the run itself is the longest')
 })
 
 test('should not move a run between engines of one kind because one is full and the other empty', t => {
@@ -105,19 +105,19 @@
   t.false(shouldWaitForFaster({ freeGapMs: 42, fullGapMs: 38, remainingEventsCount: 187, waitedMs: 0 }))
 })
 
-test('should try an engine whose slowness may have passed with one run, and with none while others have room', async t => {
+test('should probe an engine that may no longer be slow with a single run, and with none while others have free slots', async t => {
   const ownClock = new VirtualClock()
-  const doubted = paced('e1', undefined, ownClock)
+  const uncertain = paced('e1', undefined, ownClock)
   for (let event = 0; event < 60; event++) {
     await ownClock.advance(38)
-    doubted.pace.sawGap(38)
+    uncertain.pace.sawGap(38)
   }
-  for (let event = 0; event < 60; event++) doubted.pace.sawGap(150)
+  for (let event = 0; event < 60; event++) uncertain.pace.sawGap(150)
   await ownClock.advance(5_000)
-  t.true(doubted.pace.isInDoubt)
-  t.true(doubted.mayRun('hints-model'))
-  const sound = paced('e2', 40, ownClock)
-  t.is(fastestEngine([doubted, sound], 40, 10_000), sound)
-  doubted.enter(100)
-  t.false(doubted.mayRun('hints-model'))
+  t.true(uncertain.pace.isInDoubt)
+  t.true(uncertain.mayRun('hints-model'))
+  const healthy = paced('e2', 40, ownClock)
+  t.is(fastestEngine([uncertain, healthy], 40, 10_000), healthy)
+  uncertain.enter(100)
+  t.false(uncertain.mayRun('hints-model'))
 })
--- a/tests/batches/runPlaces.test.ts
+++ b/tests/batches/runPlaces.test.ts
@@ -10,7 +10,7 @@
 
 interface World {
   places: PlacementSelector
-  /** Services whose engines take work. */
+  /** Services with engines that accept work. */
   serving: Set<string>
 }
 
@@ -47,7 +47,7 @@
   t.is(countOf(all, 'b'), ITEMS_COUNT)
 })
 
-test('should let another service of the route stand in while the drawn one has no engine, and no longer', t => {
+test('should use another service of the route while the selected one has no engine, and no longer', t => {
   const all = world([{ service: 'a', weight: 50 }, { service: 'b', weight: 50 }], { a: ['hints-model'], b: ['hints-model'] })
   const items = runs()
   const count = countOf(all, 'a', items)
--- a/tests/batches/silenceWatch.test.ts
+++ b/tests/batches/silenceWatch.test.ts
@@ -21,6 +21,6 @@
   t.is(await paceAfter(() => false), GAP_MS)
 })
 
-test('should learn nothing of an engine from events that this host has read late', async t => {
+test('should not learn the pace of an engine from events that an overloaded host reads late', async t => {
   t.is(await paceAfter(() => true), undefined)
 })
--- a/tests/batches/slotSharing.test.ts
+++ b/tests/batches/slotSharing.test.ts
@@ -2,9 +2,9 @@
 import { deferrableUntilMs, slotsForDeferrable } from '../../src/batches/slotSharing.js'
 
 /**
- * The load that these tests stand for: three trainers ask for steps of some
- * fifty items at the same moment, every four seconds, due in 7.5 s; most items
- * take under a second, and a few, of 187 events, take seven.
+ * The load behind these tests: three trainers submit steps of about fifty items at the
+ * same moment, every four seconds, due in 7.5 s. Most items take less than a second,
+ * and a few of 187 events take seven.
  */
 const GAP_MS = 38
 const SLOTS_COUNT = 12
@@ -19,7 +19,7 @@
   t.true(waitedMs + 40 * GAP_MS < 7_100)
 })
 
-test('should not let the short items of a step wait that has no long one', t => {
+test('should not defer the short items of a step that has no long one', t => {
   t.true(deferrableUntilMs({ longestEndsAtMs: 2_000, remainingEventsCount: 10 }, GAP_MS) < 0)
 })
 
--- a/tests/batches/startPacing.test.ts
+++ b/tests/batches/startPacing.test.ts
@@ -8,28 +8,28 @@
 const ENGINES_COUNT = 31
 const SLOTS_COUNT = 8
 const ITEMS_COUNT = 200
-const MOST_IN_A_TURN_COUNT = 16
+const MAX_STARTS_PER_TURN_COUNT = 16
 
-test('should begin the steps of all trainers in turns, so that heartbeats go out in between', async t => {
+test('should start the items of large steps in turns, so that heartbeats are sent in between', async t => {
   const engines = Array.from({ length: ENGINES_COUNT }, (_value, position) => engine(`e${position + 1}`, 1, { slotsCount: SLOTS_COUNT }))
   const world = await new StoreWorld({ engines }).start()
-  const begunByTurn = new Map<number, number>()
+  const startsByTurn = new Map<number, number>()
   world.endpoints.onRun = () => {
     const turn = Math.floor(world.clock.nowMs() / TURN_MS)
-    begunByTurn.set(turn, (begunByTurn.get(turn) ?? 0) + 1)
+    startsByTurn.set(turn, (startsByTurn.get(turn) ?? 0) + 1)
     return { eventsCount: 40, gapMs: 40, version: 1 }
   }
   const itemIds = Array.from({ length: ITEMS_COUNT }, (_value, position) => `i${position}`)
   await world.submit(submission('b1', itemIds))
   await world.clock.advance(600)
-  const mostCount = Math.max(...begunByTurn.values())
-  t.is([...begunByTurn.values()].reduce((sum, count) => sum + count, 0), ITEMS_COUNT)
-  t.true(mostCount <= 2 * MOST_IN_A_TURN_COUNT, `${mostCount} begun within ${TURN_MS} ms`)
+  const maxCount = Math.max(...startsByTurn.values())
+  t.is([...startsByTurn.values()].reduce((sum, count) => sum + count, 0), ITEMS_COUNT)
+  t.true(maxCount <= 2 * MAX_STARTS_PER_TURN_COUNT, `${maxCount} started within ${TURN_MS} ms`)
   t.deepEqual(world.failures, [])
   world.close()
 })
 
-test('should begin nothing while its own timers are late, and go on with the first one that is not', async t => {
+test('should start nothing while its own timers are late, and resume with the first one that is on time', async t => {
   const clock = new VirtualClock()
   const pacing = new StartPacing(clock)
   await clock.advance(TURN_MS)
@@ -37,9 +37,9 @@
   t.true(pacing.mayStart)
   pacing.recordStart()
   await clock.advance(TURN_MS + 100)
-  t.true(pacing.isOverloaded, 'the timer that is due has not come')
+  t.true(pacing.isOverloaded, 'the due timer has not fired')
   t.is(pacing.beginTurn(), 100)
-  t.true(pacing.isOverloaded, 'it came late')
+  t.true(pacing.isOverloaded, 'the timer fired late')
   t.false(pacing.mayStart)
   await clock.advance(TURN_MS)
   pacing.beginTurn()
@@ -47,30 +47,30 @@
   t.true(pacing.mayStart)
 })
 
-test('should begin a run now and then however late it is, for it may not be runs that hold it up', async t => {
+test('should still start a run per interval while overloaded, because the load may not come from runs', async t => {
   const clock = new VirtualClock()
   const pacing = new StartPacing(clock)
-  let begunCount = 0
+  let startsCount = 0
   for (let passedMs = 0; passedMs < 2_000; passedMs += 100) {
     await clock.advance(100)
     pacing.beginTurn()
     t.true(pacing.isOverloaded)
     if (!pacing.mayStart) continue
     pacing.recordStart()
-    begunCount++
+    startsCount++
   }
-  t.is(begunCount, 10)
+  t.is(startsCount, 10)
 })
 
-test('should begin no more than a turn allows, however many slots are free', async t => {
+test('should start no more runs than a turn allows, however many slots are free', async t => {
   const clock = new VirtualClock()
   const pacing = new StartPacing(clock)
-  let begunCount = 0
+  let startsCount = 0
   while (pacing.mayStart) {
     pacing.recordStart()
-    begunCount++
+    startsCount++
   }
-  t.is(begunCount, MOST_IN_A_TURN_COUNT)
+  t.is(startsCount, MAX_STARTS_PER_TURN_COUNT)
   await clock.advance(TURN_MS)
   pacing.beginTurn()
   t.true(pacing.mayStart)
--- a/tests/batches/stepReports.test.ts
+++ b/tests/batches/stepReports.test.ts
@@ -8,7 +8,7 @@
 import { submission } from '../fixtures/fleet/batchFixtures.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
-test('should tell of each open step what its items are at, why some wait, and nothing of one that has ended', async t => {
+test('should report the stages and wait reasons of the items of each open step, and nothing of an ended one', async t => {
   const clock = new VirtualClock()
   await clock.advance(2_000)
   const lines: LogFields[] = []
