--- a/src/batches/batchDispatcher.ts
+++ b/src/batches/batchDispatcher.ts
@@ -164,7 +164,7 @@
       supervisor.scope.close('the batch has ended')
       this._tracked.delete(batchId)
     }
-    // The routing configuration defines when items may be abandoned. A host that has just started receives it within seconds.
+    // Batches start only with a routing configuration, which defines when items may be abandoned; a host that has just started receives it within seconds.
     if (!view.routing) return
     const added = state.open().filter(batch => !this._tracked.has(batch.batchId))
     if (added.length === 0) return
@@ -188,9 +188,9 @@
     const { clock, supervisor: parent } = this._options
     const supervisor = parent.child(`batch ${batch.batchId}`)
     this.demand.asked(batch.submission, this._options.view.namedVersion(batch.submission.model))
-    const batchPromise = this.routeOf(batch.submission.host, batch.submission.path)?.batch
+    const batchSettings = this.routeOf(batch.submission.host, batch.submission.path)?.batch
     const nowMs = clock.nowMs()
-    const times = this._options.ages.timesOf(batch, batchPromise)
+    const times = this._options.ages.timesOf(batch, batchSettings)
     this._tracked.set(batch.batchId, { batch, supervisor, startedAtMs: nowMs, dueAtMs: times.dueAtMs })
     for (const item of batch.openItems()) this._startItem(batch, item, times, supervisor)
   }
--- a/src/batches/batchState.ts
+++ b/src/batches/batchState.ts
@@ -62,7 +62,7 @@
 export interface BatchStateListener {
   /** A leader announced an order to load weights. */
   onOrder: (endpointId: string, holder: string, lanesCount: number | undefined) => void
-  /** A trainer named a version. */
+  /** A trainer published a version of its weights. */
   onNamed: (weights: NamedWeights) => void
   /** A batch was added. */
   onTaken?: (batch: Batch) => void
--- a/src/batches/batchTimes.ts
+++ b/src/batches/batchTimes.ts
@@ -41,14 +41,14 @@
   }
 
   /**
-   * Times of a batch that this host starts to run. `dueAtMs`, which only affects the
-   * order of items, relies on the wall clocks of two leaders, which may differ.
+   * Times of a batch that this host starts to run. `dueAtMs`, which only affects
+   * scheduling, relies on the wall clocks of two leaders, which may differ.
    * `abandonAtMs` relies on this host's own clock alone.
    */
-  timesOf (batch: Batch, batchPromise: BatchPromise | undefined): BatchTimes {
+  timesOf (batch: Batch, batchSettings: BatchPromise | undefined): BatchTimes {
     const nowMs = this._clock.nowMs()
-    const dueMs = batchPromise?.dueMs ?? DEFAULT_DUE_MS
-    const maxQueueMs = batchPromise?.maxQueueMs ?? DEFAULT_DUE_MS
+    const dueMs = batchSettings?.dueMs ?? DEFAULT_DUE_MS
+    const maxQueueMs = batchSettings?.maxQueueMs ?? DEFAULT_DUE_MS
     const observedAgeMs = this._observedAgeMs(batch)
     const ageMs = Math.max(observedAgeMs, Math.min(maxQueueMs, this._clock.wallMs() - batch.acceptedAtMs))
     const longestMs = Math.max(0, ...batch.openItems().map(({ expectedTokensCount }) => expectedTokensCount * ASSUMED_TOKEN_MS))
--- a/src/batches/itemOrder.ts
+++ b/src/batches/itemOrder.ts
@@ -18,7 +18,7 @@
   priority: number
 }
 
-/** Assumed time per token until the pace of an engine is known: engines need 38 to 41 ms for events of 52 and 54 tokens. */
+/** Assumed time per token until the pace of an engine is known: the engines of both known deployments need 38 to 41 ms for events of 52 and 54 tokens. */
 export const ASSUMED_TOKEN_MS = 0.77
 
 /** Delay of an item's place in the order for each level of priority: half the time of an event. */
@@ -37,10 +37,10 @@
 }
 
 /**
- * Sorts the item with the least slack first, across batches: a long item of a later
- * batch precedes a short one of an earlier batch, which would only wait for the long
- * ones of its own batch. Started items precede all others, then carried-over ones.
- * Priority delays an item by a bounded time.
+ * Comparator that puts the item with the least slack first, across batches: a long
+ * item of a later batch precedes a short one of an earlier batch, which would only
+ * wait for the long ones of its own batch. Started items precede all others, then
+ * carried-over ones. Priority delays an item by a bounded time.
  */
 export function compareWaiting (left: WaitingItem, right: WaitingItem, tokenMs: number): number {
   if (left.isStarted !== right.isStarted) return left.isStarted ? -1 : 1
--- a/src/batches/itemRun.ts
+++ b/src/batches/itemRun.ts
@@ -41,7 +41,7 @@
 const MAX_FAILURES_FACTOR = 2
 const COMMIT_TIMEOUT_MS = 2_000
 /** Interval for checking whether the quarantine of an item was lifted, until the item may be abandoned. */
-const WITHHELD_PAUSE_MS = 500
+const QUARANTINE_CHECK_INTERVAL_MS = 500
 
 export interface ItemRunOptions {
   clock: Clock
@@ -172,7 +172,7 @@
       this.stage = ItemStage.Queued
       const engine = await this._options.acquire(this, this.times.abandonAtMs, scope)
       if (!engine) return false
-      // The quarantine status may have changed while the item waited for the slot.
+      // While the item waited for the slot, its quarantine status or that of other runs at the engine may have changed.
       if (!this.mayRunOn(engine)) {
         this._options.release(this, engine)
         await sleepUntil(clock, scope, clock.nowMs() + RETRY_PAUSE_MS)
@@ -203,7 +203,7 @@
     this.stage = ItemStage.Withheld
     while (this._isWithheld()) {
       if (clock.nowMs() >= this.times.abandonAtMs) return false
-      await sleepUntil(clock, scope, clock.nowMs() + WITHHELD_PAUSE_MS)
+      await sleepUntil(clock, scope, clock.nowMs() + QUARANTINE_CHECK_INTERVAL_MS)
     }
     return true
   }
--- a/src/batches/outputKeeper.ts
+++ b/src/batches/outputKeeper.ts
@@ -11,14 +11,14 @@
 import type { ItemOutput } from './itemOutput.js'
 
 /** Events per write to the replicated state: less than a second of a run, which a new leader would have to repeat. */
-const REPLICATED_EVENTS_COUNT = 16
+const EVENTS_PER_WRITE_COUNT = 16
 /**
  * A run with this many events writes fewer events at a time. A step ends with its
  * longest samples and waits for what a dead leader lost of them: 0.1 s on average
  * instead of 0.3 s at 40 ms per event.
  */
 const LONG_RUN_EVENTS_COUNT = 64
-const LONG_RUN_REPLICATED_EVENTS_COUNT = 6
+const LONG_RUN_EVENTS_PER_WRITE_COUNT = 6
 const COMMIT_TIMEOUT_MS = 2_000
 
 export interface OutputReplicatorOptions {
@@ -41,7 +41,7 @@
 
   /** Called after events were added; starts a write once there are enough. */
   replicateIfEnough (scope: Scope): void {
-    if (this._replicating || this._options.output.unreplicatedCount < this._eventsPerCommand()) return
+    if (this._replicating || this._options.output.unreplicatedCount < this._eventsPerWrite()) return
     this._replicating = this._replicateNew(scope).catch(error => {
       if (!(error instanceof ScopeClosedError)) throw error
     }).finally(() => { this._replicating = undefined })
@@ -58,8 +58,8 @@
     if (this._options.output.unreplicatedCount > 0) await this._replicateNew(progress.scope)
   }
 
-  private _eventsPerCommand (): number {
-    return this._options.output.lastEventId < LONG_RUN_EVENTS_COUNT ? REPLICATED_EVENTS_COUNT : LONG_RUN_REPLICATED_EVENTS_COUNT
+  private _eventsPerWrite (): number {
+    return this._options.output.lastEventId < LONG_RUN_EVENTS_COUNT ? EVENTS_PER_WRITE_COUNT : LONG_RUN_EVENTS_PER_WRITE_COUNT
   }
 
   private async _replicateNew (scope: Scope): Promise<void> {
--- a/src/batches/rewardScoring.ts
+++ b/src/batches/rewardScoring.ts
@@ -14,11 +14,11 @@
 import { Progress } from '../utils/progress.js'
 import type { Scope } from '../utils/scope.js'
 
-/** Time limit for one reward call with its retries; the longest calls of both sites take a tenth of this. */
+/** Time limit for one reward call with its retries; the longest calls of both known deployments take a tenth of this. */
 const REWARD_TIMEOUT_MS = 2_000
 const RETRY_PAUSE_MS = 50
 /** A quarantined call is sent to no endpoint; this is the interval for checking whether the quarantine was lifted. */
-const QUARANTINED_PAUSE_MS = 1_000
+const QUARANTINE_CHECK_INTERVAL_MS = 1_000
 const HTTP_OK_MIN = 200
 const HTTP_OK_MAX = 299
 
@@ -60,7 +60,7 @@
       const isWithheld = isQuarantined(outcome)
       const hasExhaustedAttempts = route !== undefined && failuresCount >= route.maxAttemptsCount
       if (hasExhaustedAttempts || (isWithheld && clock.nowMs() >= abandonAtMs)) return { kind: 'lost' }
-      await sleepUntil(clock, scope, clock.nowMs() + (isWithheld ? QUARANTINED_PAUSE_MS : RETRY_PAUSE_MS))
+      await sleepUntil(clock, scope, clock.nowMs() + (isWithheld ? QUARANTINE_CHECK_INTERVAL_MS : RETRY_PAUSE_MS))
     }
   }
 
