--- a/tests/batches/batchStateFuzz.test.ts
+++ b/tests/batches/batchStateFuzz.test.ts
@@ -160,12 +160,12 @@
 test('should count the bytes that it holds, less what was dropped, also after a snapshot', t => {
   fc.assert(fc.property(fc.array(step, { minLength: 20, maxLength: 60, size: 'max' }), steps => {
     let state = new BatchState()
-    for (const [position, current] of steps.entries()) {
+    for (const [position, taken] of steps.entries()) {
       const context = { index: position + 1, atMs: position * LONG_STEP_MS }
       const before = state.heldBytesAt(context.atMs)
-      if (current.kind === 'restart') state = restarted(state)
-      else state.apply(commandOf(current), context)
-      if (current.kind === 'submit' && state.heldBytes < before) throw new Error(`a submission reduced the accounted bytes from ${before} to ${state.heldBytes}`)
+      if (taken.kind === 'restart') state = restarted(state)
+      else state.apply(commandOf(taken), context)
+      if (taken.kind === 'submit' && state.heldBytes < before) throw new Error(`a submission reduced the accounted bytes from ${before} to ${state.heldBytes}`)
       if (state.heldBytes !== recountOf(state)) throw new Error(`${state.heldBytes} bytes accounted, ${recountOf(state)} recounted`)
     }
   }), { numRuns: RUNS_COUNT, seed: 20_261_202 })
@@ -177,12 +177,12 @@
     let state = new BatchState()
     const bodies = new OpenBodies()
     const snapshots = new Snapshots()
-    for (const [position, current] of steps.entries()) {
+    for (const [position, taken] of steps.entries()) {
       if (position % SNAPSHOT_EVERY_STEPS === 0) snapshots.take(state)
-      if (current.kind === 'restart') {
+      if (taken.kind === 'restart') {
         state = restarted(state)
       } else {
-        const command = commandOf(current)
+        const command = commandOf(taken)
         bodies.record(command, state.apply(command, { index: position + 1, atMs: position }))
       }
       const contradiction = bodies.read(state)
@@ -198,12 +198,12 @@
     let state = new BatchState()
     const uninterrupted = new BatchState()
     const readers = new ResultReaders()
-    for (const [position, current] of steps.entries()) {
-      if (current.kind === 'restart') {
+    for (const [position, taken] of steps.entries()) {
+      if (taken.kind === 'restart') {
         state = restarted(state)
       } else {
         const context = { index: position + 1, atMs: position }
-        const outcomes = [state, uninterrupted].map(replica => replica.apply(commandOf(current), context))
+        const outcomes = [state, uninterrupted].map(replica => replica.apply(commandOf(taken), context))
         if (JSON.stringify(outcomes[0]) !== JSON.stringify(outcomes[1])) throw new Error(`replicas disagree: ${JSON.stringify(outcomes)}`)
       }
       const contradiction = readers.read(state)
--- a/tests/batches/dispatching.test.ts
+++ b/tests/batches/dispatching.test.ts
@@ -257,7 +257,7 @@
     world.dispatch()
     await world.clock.advance(100)
     const replicatedCount = world.endpoints.runs[1]?.afterEventId ?? 0
-    t.true(generatedCount - replicatedCount <= 7, `${replicatedCount} of ${generatedCount} events replicated`)
+    t.true(generatedCount - replicatedCount <= 7, `${replicatedCount} of ${generatedCount}`)
     world.close()
   }
 })
