--- a/tests/batches/batchStateFuzz.test.ts
+++ b/tests/batches/batchStateFuzz.test.ts
@@ -56,21 +56,21 @@
   return Array.from({ length: eventsCount }, (_value, position) => `${itemId}.${from + position + 1}`)
 }
 
-function commandOf (step: Exclude<Step, { kind: 'restart' }>): BatchCommand {
-  const batchId = batchIdOf(step.batch)
-  switch (step.kind) {
+function commandOf (taken: Exclude<Step, { kind: 'restart' }>): BatchCommand {
+  const batchId = batchIdOf(taken.batch)
+  switch (taken.kind) {
     case 'submit':
-      return { kind: BatchCommandKind.Submit, submission: submission(batchId, step.items.map(itemIdOf)), keepMs: KEEP_MS }
+      return { kind: BatchCommandKind.Submit, submission: submission(batchId, taken.items.map(itemIdOf)), keepMs: KEEP_MS }
     case 'end':
       return { kind: BatchCommandKind.End, batchId }
     case 'progress': {
-      const itemId = itemIdOf(step.item)
-      return { kind: BatchCommandKind.Progress, batchId, itemId, afterEventId: step.afterEventId, parts: [toPart(dataOf(itemId, step.afterEventId, step.count), [1])] }
+      const itemId = itemIdOf(taken.item)
+      return { kind: BatchCommandKind.Progress, batchId, itemId, afterEventId: taken.afterEventId, parts: [toPart(dataOf(itemId, taken.afterEventId, taken.count), [1])] }
     }
     case 'finish': {
-      const itemId = itemIdOf(step.item)
-      const parts = [toPart(dataOf(itemId, step.afterEventId, step.count), [1])]
-      return { kind: BatchCommandKind.Finish, batchId, afterEventId: step.afterEventId, result: { itemId, state: ResultState.Completed, parts, versions: [1], score: 's' } }
+      const itemId = itemIdOf(taken.item)
+      const parts = [toPart(dataOf(itemId, taken.afterEventId, taken.count), [1])]
+      return { kind: BatchCommandKind.Finish, batchId, afterEventId: taken.afterEventId, result: { itemId, state: ResultState.Completed, parts, versions: [1], score: 's' } }
     }
   }
 }
