--- a/src/batches/rewardScoring.ts
+++ b/src/batches/rewardScoring.ts
@@ -1,7 +1,7 @@
 /**
- * Scores a sample whose text is whole, by its reward call: asked again until
- * there is a score, the call was failed as often as its route allows, or
- * endpoints end under it and the item may be given up.
+ * Scores a sample with complete text by its reward call. The call is repeated until
+ * there is a score, until it has failed as often as its route allows, or until it is
+ * quarantined for crashing endpoints and the item may be abandoned.
  */
 import type { ForwardOutcome, RequestForwarder } from '../gateway/requestForwarder.js'
 import type { RewardCall } from '../protocol/batches.js'
@@ -14,40 +14,40 @@
 import { Progress } from '../utils/progress.js'
 import type { Scope } from '../utils/scope.js'
 
-/** One try of the reward call, with its retries: the longest of both sites takes a tenth of this. */
+/** Time limit for one reward call with its retries; the longest calls of both known deployments take a tenth of this. */
 const REWARD_TIMEOUT_MS = 2_000
 const RETRY_PAUSE_MS = 50
-/** A call under which endpoints end goes to none of them: whether it was lifted is looked at this often. */
-const HELD_BACK_PAUSE_MS = 1_000
+/** A quarantined call is sent to no endpoint; this is the interval for checking whether the quarantine was lifted. */
+const QUARANTINE_CHECK_INTERVAL_MS = 1_000
 const HTTP_OK_MIN = 200
 const HTTP_OK_MAX = 299
 
 export type RewardScore =
   /** The receipt of the endpoint that scored it. */
   | { kind: 'scored', receipt: string }
-  /** No further call is allowed. */
+  /** No further attempt is allowed. */
   | { kind: 'lost' }
 
-export interface RewardScoringParts {
+export interface RewardScoringOptions {
   clock: Clock
   metrics: Metrics
   forwarder: RequestForwarder
-  /** The route of a request, in the routing configuration of the moment. */
+  /** The route of a request in the current routing configuration. */
   routeOf: (host: string, path: string) => RoutingRoute | undefined
-  /** Told of every call that has ended. */
+  /** Called with log fields after each call. */
   onCalled: (fields: LogFields) => void
 }
 
 export class RewardScoring {
-  private readonly _parts: RewardScoringParts
+  private readonly _options: RewardScoringOptions
 
-  constructor (parts: RewardScoringParts) {
-    this._parts = parts
+  constructor (options: RewardScoringOptions) {
+    this._options = options
   }
 
-  /** @param giveUpAtMs from then on a call that is sent to no endpoint is given up */
-  async score (reward: RewardCall, giveUpAtMs: number, scope: Scope): Promise<RewardScore> {
-    const { clock, routeOf } = this._parts
+  /** @param abandonAtMs time from which a quarantined call is no longer repeated */
+  async score (reward: RewardCall, abandonAtMs: number, scope: Scope): Promise<RewardScore> {
+    const { clock, routeOf } = this._options
     let failuresCount = 0
     for (;;) {
       const route = routeOf(reward.host, reward.path)
@@ -57,15 +57,15 @@
         if (receipt !== undefined) return { kind: 'scored', receipt }
         failuresCount += outcome.failedAnswersCount
       }
-      const isHeldBack = isQuarantined(outcome)
-      const hasFailedOften = route !== undefined && failuresCount >= route.maxAttemptsCount
-      if (hasFailedOften || (isHeldBack && clock.nowMs() >= giveUpAtMs)) return { kind: 'lost' }
-      await sleepUntil(clock, scope, clock.nowMs() + (isHeldBack ? HELD_BACK_PAUSE_MS : RETRY_PAUSE_MS))
+      const isWithheld = isQuarantined(outcome)
+      const hasExhaustedAttempts = route !== undefined && failuresCount >= route.maxAttemptsCount
+      if (hasExhaustedAttempts || (isWithheld && clock.nowMs() >= abandonAtMs)) return { kind: 'lost' }
+      await sleepUntil(clock, scope, clock.nowMs() + (isWithheld ? QUARANTINE_CHECK_INTERVAL_MS : RETRY_PAUSE_MS))
     }
   }
 
   private async _call (reward: RewardCall, route: RoutingRoute, scope: Scope): Promise<ForwardOutcome> {
-    const { clock, forwarder, metrics, onCalled } = this._parts
+    const { clock, forwarder, metrics, onCalled } = this._options
     const outcome = await forwarder.forward({
       route,
       method: 'POST',
@@ -78,8 +78,8 @@
       isPersistent: true
     })
     metrics.count(MetricName.RewardCalled, { outcome: outcome.kind })
-    const seen = outcome.kind === 'answered' ? { status: outcome.status, failedAnswersCount: outcome.failedAnswersCount } : { reason: outcome.reason }
-    onCalled({ rewardId: reward.rewardId, outcome: outcome.kind, ...seen })
+    const details = outcome.kind === 'answered' ? { status: outcome.status, failedAnswersCount: outcome.failedAnswersCount } : { reason: outcome.reason }
+    onCalled({ rewardId: reward.rewardId, outcome: outcome.kind, ...details })
     return outcome
   }
 }
@@ -88,7 +88,7 @@
   return outcome?.kind === 'refused' && outcome.reason === RefusalReason.Quarantined
 }
 
-/** That of a success. */
+/** The receipt of a successful answer. */
 function receiptOf ({ status, receipt }: Extract<ForwardOutcome, { kind: 'answered' }>): string | undefined {
   return status >= HTTP_OK_MIN && status <= HTTP_OK_MAX ? receipt : undefined
 }
--- a/src/batches/runOutcome.ts
+++ b/src/batches/runOutcome.ts
@@ -1,5 +1,5 @@
 /**
- * How a run of an item at an engine can end, and what that says of the engine.
+ * How a run of an item at an engine can end, and the effect on the health of the engine.
  */
 import type { ItemOutcome } from '../endpoints/endpointClient.js'
 import { FailureReason } from '../endpoints/endpointHealth.js'
@@ -9,24 +9,24 @@
 
 export type RunOutcome =
   | ItemOutcome
-  /** It goes on at a faster engine. */
+  /** It continues at a faster engine. */
   | { kind: 'moved' }
-  /** Nothing came of it, though the engine took it: it is not known whether it began. */
+  /** The engine accepted it but sent no event, so it is unknown whether it started. */
   | { kind: 'notBegun', reason: string }
-  /** It was ended here for what it gave: the engine did what it can. */
+  /** This host ended it because its output does not fit the batch; the engine is not at fault. */
   | { kind: 'unusable', reason: string }
 
 export interface EndedRun {
   engine: Engine
-  beganAtMs: number
-  /** What its item has met at all engines. */
+  startedAtMs: number
+  /** Failures of its item at all engines. */
   failures: FailureAccount
-  /** Another endpoint has an engine's address. */
-  markGone: (endpointId: string) => void
+  /** Called when another endpoint answers at the address of the engine. */
+  markRemoved: (endpointId: string) => void
 }
 
-/** Notes in what is known of the engine how a run there has ended. */
-export function noteOutcome (outcome: RunOutcome, { engine, beganAtMs, failures, markGone }: EndedRun): void {
+/** Records the outcome of a run in the health of the engine and in the failures of the item. */
+export function recordOutcome (outcome: RunOutcome, { engine, startedAtMs, failures, markRemoved }: EndedRun): void {
   const { health } = engine
   switch (outcome.kind) {
     case 'finished':
@@ -36,25 +36,25 @@
       return
     case 'failed':
       health.worked()
-      failures.note(engine.id, health, beganAtMs, outcome.status)
+      failures.note(engine.id, health, startedAtMs, outcome.status)
       return
     case 'notBegun':
-      // That others go on there says nothing of whether it begins what it takes.
-      health.failed(FailureReason.Broken, beganAtMs)
-      failures.noteUnbegun(engine.id, health, beganAtMs)
+      // Progress of other runs does not show that the engine starts the runs that it accepts.
+      health.failed(FailureReason.Broken, startedAtMs)
+      failures.noteUnbegun(engine.id, health, startedAtMs)
       return
     case 'notExecuted':
       health.wasFull(undefined)
       return
     case 'misdirected':
-      markGone(engine.id)
+      markRemoved(engine.id)
       return
     case 'unreached':
-      if (outcome.isRefused === true) health.refused(beganAtMs)
-      else health.failed(FailureReason.Unreached, beganAtMs)
+      if (outcome.isRefused === true) health.refused(startedAtMs)
+      else health.failed(FailureReason.Unreached, startedAtMs)
       return
     case 'broken':
-      health.failed(FailureReason.Broken, beganAtMs)
+      health.failed(FailureReason.Broken, startedAtMs)
       return
     default:
       unreachable(outcome)
--- a/src/batches/stepReports.ts
+++ b/src/batches/stepReports.ts
@@ -1,8 +1,8 @@
 /**
- * What each open step waits for, and why: a line a second and gauges, so that a
- * trainer that stands still can be traced to the engines, the slots, the scoring or
- * the log. Items are counted by their stage; those without an engine also by the
- * reason that keeps them from one.
+ * Reports what each open step waits for, by a log line per second and by gauges, so
+ * that a stalled trainer can be traced to the engines, the slots, the scoring or the
+ * log. Items are counted by stage, and queued items also by the reason for which they
+ * have no slot.
  */
 import type { Clock } from '../utils/clock.js'
 import { everySecond } from '../utils/everySecond.js'
@@ -13,54 +13,54 @@
 import type { Batch } from './batch.js'
 import { BatchEvent } from './batchEvents.js'
 
-/** Where an item is on its way to its place in the list. */
+/** Stage of an item on its way to the list of results. */
 export enum ItemStage {
-  /** It waits for a slot of an engine. */
+  /** Waits for a slot of an engine. */
   Queued = 'queued',
   Running = 'running',
-  /** A run of it failed a moment ago. */
+  /** Pauses after a failed run. */
   Pausing = 'pausing',
-  /** Engines ended under it: it goes to none. */
-  HeldBack = 'held_back',
+  /** Quarantined after engines crashed while running it; sent to no engine. */
+  Withheld = 'held_back',
   Scoring = 'scoring',
-  /** Its result is being put into the log. */
+  /** Its result is being committed to the replicated log. */
   Committing = 'committing'
 }
 
-/** What keeps an item that waits for a slot from having one. */
+/** Why a queued item has no slot. */
 export enum WaitReason {
   NoRoute = 'no_route',
-  /** The service has no engine that takes new work. */
+  /** The service has no engine that accepts new runs. */
   NoEngine = 'no_engine',
-  /** No engine has weights new enough. */
+  /** No engine has weights that are new enough. */
   NoVersion = 'no_version',
-  /** All that have the weights are left out after failures, full by their own word, or loading. */
+  /** All engines with these weights are ejected after failures, report that they are full, or are loading weights. */
   EnginesUnfit = 'engines_unfit',
   NoSlot = 'no_slot',
-  /** There is a slot, and the item waits for a better one or for its turn. */
+  /** A slot is free, but the item waits for a better one or for its turn. */
   Turn = 'turn'
 }
 
-/** An item as far as the report goes. */
+/** The properties of an item that are reported. */
 export interface ReportedItem {
   batch: Batch
   stage: ItemStage
 }
 
-/** A step that this host runs. */
+/** A step that is running at this host. */
 export interface ReportedStep {
   batch: Batch
-  /** When this host began to run it. */
-  begunAtMs: number
+  /** When this host started to run the step. */
+  startedAtMs: number
   dueAtMs: number
 }
 
-export interface StepReportsParts<Item extends ReportedItem> {
+export interface StepReportsOptions<Item extends ReportedItem> {
   clock: Clock
   logger: Logger
   metrics: Metrics
   steps: () => ReportedStep[]
-  /** Every item that is not listed yet. */
+  /** All items that are not listed yet. */
   items: () => Iterable<Item>
   waitReasonOf: (item: Item) => WaitReason
 }
@@ -68,31 +68,31 @@
 type Counts = Partial<Record<ItemStage | WaitReason, number>>
 
 export class StepReports<Item extends ReportedItem> {
-  private readonly _parts: StepReportsParts<Item>
-  /** Models that a gauge was set for. */
+  private readonly _options: StepReportsOptions<Item>
+  /** Models whose gauges were set; they are reset to 0 once a model has no open step. */
   private readonly _models = new Set<string>()
 
-  constructor (parts: StepReportsParts<Item>) {
-    this._parts = parts
+  constructor (options: StepReportsOptions<Item>) {
+    this._options = options
   }
 
   async run (scope: Scope): Promise<void> {
-    await everySecond(this._parts.clock, scope, () => this.report())
+    await everySecond(this._options.clock, scope, () => this.report())
   }
 
   report (): void {
-    const { clock, logger } = this._parts
+    const { clock, logger } = this._options
     const nowMs = clock.nowMs()
     const counts = this._countItems()
-    const steps = this._parts.steps().filter(({ batch }) => !batch.isEnded)
+    const steps = this._options.steps().filter(({ batch }) => !batch.isEnded)
     for (const step of steps) {
       const { batchId, submission, results } = step.batch
-      logger.event(BatchEvent.StepWaits, {
+      logger.event(BatchEvent.StepWaiting, {
         batchId,
         model: submission.model,
         step: submission.step,
         minVersion: submission.minVersion,
-        openForMs: Math.round(nowMs - step.begunAtMs),
+        openForMs: Math.round(nowMs - step.startedAtMs),
         dueInMs: Math.round(step.dueAtMs - nowMs),
         itemsCount: submission.itemsCount,
         listedCount: results.length,
@@ -104,24 +104,24 @@
 
   private _countItems (): Map<Batch, Counts> {
     const counts = new Map<Batch, Counts>()
-    for (const item of this._parts.items()) {
-      const ofBatch = counts.get(item.batch) ?? {}
-      counts.set(item.batch, ofBatch)
-      ofBatch[item.stage] = (ofBatch[item.stage] ?? 0) + 1
+    for (const item of this._options.items()) {
+      const batchCounts = counts.get(item.batch) ?? {}
+      counts.set(item.batch, batchCounts)
+      batchCounts[item.stage] = (batchCounts[item.stage] ?? 0) + 1
       if (item.stage !== ItemStage.Queued) continue
-      const reason = this._parts.waitReasonOf(item)
-      ofBatch[reason] = (ofBatch[reason] ?? 0) + 1
+      const reason = this._options.waitReasonOf(item)
+      batchCounts[reason] = (batchCounts[reason] ?? 0) + 1
     }
     return counts
   }
 
   private _setGauges (steps: ReportedStep[], counts: Map<Batch, Counts>, nowMs: number): void {
-    const { metrics } = this._parts
+    const { metrics } = this._options
     for (const { batch } of steps) this._models.add(batch.submission.model)
     for (const model of this._models) {
-      const own = steps.filter(({ batch }) => batch.submission.model === model)
-      const sum = (key: ItemStage | WaitReason): number => own.reduce((total, { batch }) => total + (counts.get(batch)?.[key] ?? 0), 0)
-      metrics.gauge(MetricName.StepOpenMs, Math.max(0, ...own.map(({ begunAtMs }) => Math.round(nowMs - begunAtMs))), { model })
+      const modelSteps = steps.filter(({ batch }) => batch.submission.model === model)
+      const sum = (key: ItemStage | WaitReason): number => modelSteps.reduce((total, { batch }) => total + (counts.get(batch)?.[key] ?? 0), 0)
+      metrics.gauge(MetricName.StepOpenMs, Math.max(0, ...modelSteps.map(({ startedAtMs }) => Math.round(nowMs - startedAtMs))), { model })
       for (const stage of Object.values(ItemStage)) metrics.gauge(MetricName.StepItems, sum(stage), { model, stage })
       for (const reason of Object.values(WaitReason)) metrics.gauge(MetricName.StepWaiting, sum(reason), { model, reason })
     }
--- a/tests/batches/runPlaces.test.ts
+++ b/tests/batches/runPlaces.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import type { Engine, EngineFleet } from '../../src/batches/engineFleet.js'
 import type { ItemRun } from '../../src/batches/itemRun.js'
-import { RunPlaces } from '../../src/batches/runPlaces.js'
+import { PlacementSelector } from '../../src/batches/runPlaces.js'
 import { seededRandom } from '../../src/utils/randomSource.js'
 import { submission } from '../fixtures/fleet/batchFixtures.js'
 import { batchRoute, routing, viewOf } from '../fixtures/fleet/fleetFixtures.js'
@@ -9,8 +9,8 @@
 const ITEMS_COUNT = 400
 
 interface World {
-  places: RunPlaces
-  /** Services whose engines take work. */
+  places: PlacementSelector
+  /** Services with engines that accept work. */
   serving: Set<string>
 }
 
@@ -24,7 +24,7 @@
     }))
   }
   const engines = { ofService: (service: string) => (serving.has(service) ? [{} as Engine] : []) } as unknown as EngineFleet
-  return { places: new RunPlaces({ view: viewOf([], configuration), engines, random: seededRandom(3), routeOf: () => batchRoute({ services }) }), serving }
+  return { places: new PlacementSelector({ view: viewOf([], configuration), engines, random: seededRandom(3), routeOf: () => batchRoute({ services }) }), serving }
 }
 
 function runs (): ItemRun[] {
@@ -33,7 +33,7 @@
 }
 
 function countOf ({ places }: World, service: string, items = runs()): number {
-  return items.filter(run => places.of(run)?.service === service).length
+  return items.filter(run => places.placementOf(run)?.service === service).length
 }
 
 test('should share the items of a batch by the weights of its route', t => {
@@ -47,7 +47,7 @@
   t.is(countOf(all, 'b'), ITEMS_COUNT)
 })
 
-test('should let another service of the route stand in while the drawn one has no engine, and no longer', t => {
+test('should use another service of the route while the selected one has no engine, and no longer', t => {
   const all = world([{ service: 'a', weight: 50 }, { service: 'b', weight: 50 }], { a: ['hints-model'], b: ['hints-model'] })
   const items = runs()
   const count = countOf(all, 'a', items)
