--- a/src/accounts/accountTable.ts
+++ b/src/accounts/accountTable.ts
@@ -4,13 +4,13 @@
 import type { ClientAccount, Routing } from '../protocol/routing.js'
 import { isSameDigest, shortDigest } from './keyDigest.js'
 
-interface HeldKey {
+interface AccountKey {
   digest: string
   account: ClientAccount
 }
 
 export class AccountTable {
-  private readonly _byShortDigest = new Map<string, HeldKey[]>()
+  private readonly _byShortDigest = new Map<string, AccountKey[]>()
 
   constructor (accounts: readonly ClientAccount[]) {
     for (const account of accounts) {
@@ -20,13 +20,13 @@
 
   /** The account that holds a key; undefined when none does. */
   holderOf (digest: string): ClientAccount | undefined {
-    return this._byShortDigest.get(shortDigest(digest))?.find(held => isSameDigest(held.digest, digest))?.account
+    return this._byShortDigest.get(shortDigest(digest))?.find(key => isSameDigest(key.digest, digest))?.account
   }
 
   private _add (digest: string, account: ClientAccount): void {
-    const held = this._byShortDigest.get(shortDigest(digest)) ?? []
-    held.push({ digest, account })
-    this._byShortDigest.set(shortDigest(digest), held)
+    const keys = this._byShortDigest.get(shortDigest(digest)) ?? []
+    keys.push({ digest, account })
+    this._byShortDigest.set(shortDigest(digest), keys)
   }
 }
 
--- a/src/accounts/admission.ts
+++ b/src/accounts/admission.ts
@@ -18,7 +18,7 @@
 }
 
 /** What is known of the call and of this host. */
-export interface Caller {
+export interface CallContext {
   /** Undefined where callers need no key. */
   accounts: AccountTable | undefined
   /** The route needs no key. */
@@ -26,7 +26,7 @@
   /** Digest of the key that the caller sent; undefined without one. */
   keyDigest: string | undefined
   /** For how long no majority of the control hosts has been heard. */
-  outOfTouchMs: number
+  disconnectedMs: number
 }
 
 export type Admission =
@@ -43,19 +43,19 @@
   MissingKey = 'missing_key',
   UnknownKey = 'unknown_key',
   /** The host has been out of touch for longer than keys may outlive their removal. */
-  OutOfTouch = 'out_of_touch'
+  Disconnected = 'out_of_touch'
 }
 
 /** A host in touch has every change by then: followers call twice a second, and a call lasts 600 ms at most. */
-export const IN_TOUCH_MS = 1_500
+export const CONNECTED_WITHIN_MS = 1_500
 
-export function admit ({ accounts, isPublic, keyDigest, outOfTouchMs }: Caller, { isRevocationStrict, revokeMs }: KeyPolicy): Admission {
+export function admit ({ accounts, isPublic, keyDigest, disconnectedMs }: CallContext, { isRevocationStrict, revokeMs }: KeyPolicy): Admission {
   if (!accounts) return { kind: 'open' }
-  const mayBeOutdated = isRevocationStrict && outOfTouchMs > revokeMs
+  const mayBeOutdated = isRevocationStrict && disconnectedMs > revokeMs
   const holder = keyDigest === undefined || mayBeOutdated ? undefined : accounts.holderOf(keyDigest)
   if (holder) return { kind: 'admitted', account: holder.name, priority: holder.priority }
   if (isPublic) return { kind: 'admitted', account: undefined, priority: undefined }
   if (keyDigest === undefined) return { kind: 'refused', reason: AdmissionProblem.MissingKey }
-  if (mayBeOutdated) return { kind: 'unsure', reason: AdmissionProblem.OutOfTouch }
-  return { kind: outOfTouchMs > IN_TOUCH_MS ? 'unsure' : 'refused', reason: AdmissionProblem.UnknownKey }
+  if (mayBeOutdated) return { kind: 'unsure', reason: AdmissionProblem.Disconnected }
+  return { kind: disconnectedMs > CONNECTED_WITHIN_MS ? 'unsure' : 'refused', reason: AdmissionProblem.UnknownKey }
 }
--- a/src/accounts/callerAdmission.ts
+++ b/src/accounts/callerAdmission.ts
@@ -7,7 +7,7 @@
 import { admit, type Admission, type KeyPolicy } from './admission.js'
 import { digestOfKey, shortDigest } from './keyDigest.js'
 
-export interface CallerAdmissionParts {
+export interface CallerAdmissionOptions {
   policy: KeyPolicy
   /** For how long no majority of the control hosts has been heard. */
   outOfTouchMs: () => number
@@ -20,11 +20,11 @@
 }
 
 export class CallerAdmission {
-  private readonly _parts: CallerAdmissionParts
+  private readonly _options: CallerAdmissionOptions
   private readonly _accounts = new CurrentAccounts()
 
-  constructor (parts: CallerAdmissionParts) {
-    this._parts = parts
+  constructor (options: CallerAdmissionOptions) {
+    this._options = options
   }
 
   /** @param key as the caller sent it; undefined without one */
@@ -32,7 +32,7 @@
     const accounts = this._accounts.of(routing)
     if (!accounts) return { admission: { kind: 'open' }, keyName: undefined }
     const keyDigest = key === undefined ? undefined : digestOfKey(key)
-    const admission = admit({ accounts, isPublic, keyDigest, outOfTouchMs: this._parts.outOfTouchMs() }, this._parts.policy)
+    const admission = admit({ accounts, isPublic, keyDigest, disconnectedMs: this._options.outOfTouchMs() }, this._options.policy)
     return { admission, keyName: keyDigest === undefined ? undefined : shortDigest(keyDigest) }
   }
 }
--- a/src/accounts/keyDigest.ts
+++ b/src/accounts/keyDigest.ts
@@ -5,7 +5,7 @@
 import { createHash, timingSafeEqual } from 'node:crypto'
 
 /** Characters of a digest that tell keys apart in logs and tables; say nothing of the key. */
-const SHORT_LENGTH = 10
+const SHORT_DIGEST_LENGTH = 10
 
 /** SHA-256 in base64url. */
 export function digestOfKey (key: string): string {
@@ -13,7 +13,7 @@
 }
 
 export function shortDigest (digest: string): string {
-  return digest.slice(0, SHORT_LENGTH)
+  return digest.slice(0, SHORT_DIGEST_LENGTH)
 }
 
 /** Compares two digests in constant time. */
--- a/src/duties/dutyLease.ts
+++ b/src/duties/dutyLease.ts
@@ -14,7 +14,7 @@
   holdsLease: () => boolean
 }
 
-export interface DutyLeaseParts {
+export interface DutyLeaseOptions {
   clock: Clock
   leadership: LeaderTerm
   /** Name of this host. */
@@ -26,41 +26,41 @@
 }
 
 /** Clocks may run at different rates, and a call that was sent as a lease ended arrives a little later. */
-const MARGIN_MS = 250
+const CLOCK_MARGIN_MS = 250
 
 export class DutyLease {
-  private readonly _parts: DutyLeaseParts
-  private readonly _ledSinceMs: number
+  private readonly _options: DutyLeaseOptions
+  private readonly _leadingSinceMs: number
 
   /** To be made once the leader's state holds what earlier leaders committed. */
-  constructor (parts: DutyLeaseParts) {
-    this._parts = parts
-    this._ledSinceMs = parts.clock.leaseNowMs()
+  constructor (options: DutyLeaseOptions) {
+    this._options = options
+    this._leadingSinceMs = options.clock.leaseNowMs()
   }
 
   get fencingNumber (): number {
-    return this._parts.leadership.term
+    return this._options.leadership.term
   }
 
   /** No other host acted lately: this one may claim the duty, and act once the claim is committed. */
   get mayClaim (): boolean {
-    const { clock, leaseMs } = this._parts
-    if (!this._leads()) return false
-    return this._isClaimed() || clock.leaseNowMs() >= this._ledSinceMs + leaseMs + MARGIN_MS
+    const { clock, leaseMs } = this._options
+    if (!this._isLeading()) return false
+    return this._isClaimed() || clock.leaseNowMs() >= this._leadingSinceMs + leaseMs + CLOCK_MARGIN_MS
   }
 
   /** To be asked at the last moment before anything leaves this host. */
   get mayAct (): boolean {
-    return this._leads() && this._isClaimed()
+    return this._isLeading() && this._isClaimed()
   }
 
-  private _leads (): boolean {
-    const { leadership } = this._parts
+  private _isLeading (): boolean {
+    const { leadership } = this._options
     return !leadership.isHandingOver && leadership.holdsLease()
   }
 
   /** Nobody else can have acted since: it would have claimed the duty first. */
   private _isClaimed (): boolean {
-    return this._parts.latestHolder() === this._parts.holder
+    return this._options.latestHolder() === this._options.holder
   }
 }
--- a/src/duties/usageCounter.ts
+++ b/src/duties/usageCounter.ts
@@ -8,9 +8,9 @@
 import { windowOf } from './usageWindows.js'
 
 /** Windows that are told again to a control host which has just begun to hear this host. */
-const KEPT_WINDOWS_COUNT = 24
+const RETAINED_WINDOWS_COUNT = 24
 
-export interface UsageCounterParts {
+export interface UsageCounterOptions {
   clock: Clock
   windowMs: number
   /** True time at an instant of this host's monotonic clock. */
@@ -33,19 +33,19 @@
 }
 
 export class UsageCounter {
-  private readonly _parts: UsageCounterParts
+  private readonly _options: UsageCounterOptions
   private readonly _windows = new Map<number, CountedWindow>()
   /** Instants at which requests came that are not answered. */
   private readonly _openSinceMs = new Set<{ sinceMs: number }>()
   private _revision = 0
 
-  constructor (parts: UsageCounterParts) {
-    this._parts = parts
+  constructor (options: UsageCounterOptions) {
+    this._options = options
   }
 
   /** A request of an account has come. */
   open (account: string): OpenRequest {
-    const entry = { sinceMs: this._parts.clock.nowMs() }
+    const entry = { sinceMs: this._options.clock.nowMs() }
     this._openSinceMs.add(entry)
     return {
       began: sentAtMs => this._count(account, this._windowAt(sentAtMs)),
@@ -59,7 +59,7 @@
     return {
       revision: this._revision,
       report: {
-        incarnation: this._parts.incarnation,
+        incarnation: this._options.incarnation,
         settledBefore: this._settledBefore(),
         windows: windows.map(([windowId, { counts }]) => ({ windowId, counts: Object.fromEntries(counts) }))
       }
@@ -68,13 +68,13 @@
 
   /** No window before this one gets any further counts here. */
   private _settledBefore (): number {
-    let settledBefore = this._windowAt(this._parts.clock.nowMs())
+    let settledBefore = this._windowAt(this._options.clock.nowMs())
     for (const { sinceMs } of this._openSinceMs) settledBefore = Math.min(settledBefore, this._windowAt(sinceMs))
     return settledBefore
   }
 
   private _windowAt (nowMs: number): number {
-    return windowOf(this._parts.wallAt(nowMs), this._parts.windowMs)
+    return windowOf(this._options.wallAt(nowMs), this._options.windowMs)
   }
 
   private _count (account: string, windowId: number): void {
@@ -83,6 +83,6 @@
     window.revision = ++this._revision
     this._windows.set(windowId, window)
     const oldest = Math.min(...this._windows.keys())
-    if (this._windows.size > KEPT_WINDOWS_COUNT) this._windows.delete(oldest)
+    if (this._windows.size > RETAINED_WINDOWS_COUNT) this._windows.delete(oldest)
   }
 }
--- a/src/duties/usageReporting.ts
+++ b/src/duties/usageReporting.ts
@@ -17,17 +17,17 @@
 import type { UsageTally } from './usageTally.js'
 import { windowEndsAtMs, windowOf, type UsageWindow } from './usageWindows.js'
 
-const LOOK_INTERVAL_MS = 100
+const CHECK_INTERVAL_MS = 100
 const COMMIT_TIMEOUT_MS = 1_000
 const CALL_TIMEOUT_MS = 1_500
 const RETRY_PAUSE_MS = 300
 const MAX_RETRY_PAUSE_MS = 2_000
 /** Share of the time that a report has, from the end of its window, after which hosts that have not told all are not waited for. */
-const PATIENT_SHARE = 0.5
+const WAIT_LIMIT_SHARE = 0.5
 /** After a long time without a leader, windows that nobody asks for any more are left out. */
 const MAX_BACKLOG_COUNT = 720
 
-export interface UsageReportingParts {
+export interface UsageReportingOptions {
   clock: Clock
   logger: Logger
   metrics: Metrics
@@ -50,27 +50,27 @@
 }
 
 export class UsageReporting {
-  private readonly _parts: UsageReportingParts
+  private readonly _options: UsageReportingOptions
   private _retryAtMs = Number.NEGATIVE_INFINITY
   private _triesCount = 0
 
-  constructor (parts: UsageReportingParts) {
-    this._parts = parts
+  constructor (options: UsageReportingOptions) {
+    this._options = options
   }
 
   /** For as long as this host leads. */
   async run (scope: Scope): Promise<void> {
-    const { clock } = this._parts
+    const { clock } = this._options
     for (;;) {
-      await sleepUntil(clock, scope, clock.nowMs() + LOOK_INTERVAL_MS)
-      if (!this._parts.hasAccounts() || !await this._isHeld(scope)) continue
+      await sleepUntil(clock, scope, clock.nowMs() + CHECK_INTERVAL_MS)
+      if (!this._options.hasAccounts() || !await this._holdsDuty(scope)) continue
       await this._closeWindows(scope)
       await this._reportNext(scope)
     }
   }
 
-  private async _isHeld (scope: Scope): Promise<boolean> {
-    const { lease, holder, logger } = this._parts
+  private async _holdsDuty (scope: Scope): Promise<boolean> {
+    const { lease, holder, logger } = this._options
     if (lease.mayAct) return true
     if (!lease.mayClaim || !await this._commit({ kind: UsageCommandKind.Claim, holder }, scope)) return false
     logger.event(DutyEvent.DutyClaimed, { duty: DutyKind.ReportUsage, fencingNumber: lease.fencingNumber })
@@ -78,64 +78,64 @@
   }
 
   private async _closeWindows (scope: Scope): Promise<void> {
-    const { ledger, tally, wallMs, windowMs } = this._parts
-    const present = windowOf(wallMs(), windowMs)
-    const first = Math.max(ledger.nextWindowId ?? present - 1, present - MAX_BACKLOG_COUNT)
-    for (let windowId = first; windowId < present; windowId++) {
-      const isSettled = tally.isSettled(windowId, this._parts.hostIds())
-      if (!isSettled && !this._isPatienceOver(windowId)) return
+    const { ledger, tally, wallMs, windowMs } = this._options
+    const currentWindowId = windowOf(wallMs(), windowMs)
+    const firstWindowId = Math.max(ledger.nextWindowId ?? currentWindowId - 1, currentWindowId - MAX_BACKLOG_COUNT)
+    for (let windowId = firstWindowId; windowId < currentWindowId; windowId++) {
+      const isSettled = tally.isSettled(windowId, this._options.hostIds())
+      if (!isSettled && !this._isWaitLimitReached(windowId)) return
       const counts = tally.countsOf(windowId)
       if (!await this._commit({ kind: UsageCommandKind.Close, windowId, counts }, scope)) return
       tally.forgetBefore(windowId + 1)
-      this._noteClosed({ windowId, counts }, isSettled)
+      this._logClosed({ windowId, counts }, isSettled)
     }
   }
 
-  private _isPatienceOver (windowId: number): boolean {
-    const { wallMs, windowMs, lateMs } = this._parts
-    return wallMs() >= windowEndsAtMs(windowId, windowMs) + PATIENT_SHARE * lateMs
+  private _isWaitLimitReached (windowId: number): boolean {
+    const { wallMs, windowMs, lateMs } = this._options
+    return wallMs() >= windowEndsAtMs(windowId, windowMs) + WAIT_LIMIT_SHARE * lateMs
   }
 
-  private _noteClosed ({ windowId, counts }: UsageWindow, isSettled: boolean): void {
+  private _logClosed ({ windowId, counts }: UsageWindow, isSettled: boolean): void {
     const requestsCount = Object.values(counts).reduce((sum, count) => sum + count, 0)
-    this._parts.logger.event(DutyEvent.WindowClosed, { windowId, requestsCount, accountsCount: Object.keys(counts).length, isSettled, hostsCount: this._parts.hostIds().length })
+    this._options.logger.event(DutyEvent.WindowClosed, { windowId, requestsCount, accountsCount: Object.keys(counts).length, isSettled, hostsCount: this._options.hostIds().length })
   }
 
   private async _reportNext (scope: Scope): Promise<void> {
-    const { clock, ledger, lease, holder, infrastructure } = this._parts
+    const { clock, ledger, lease, holder, infrastructure } = this._options
     const [window] = ledger.unreported
     if (!window || clock.nowMs() < this._retryAtMs) return
     const call: DutyCall = { kind: DutyKind.ReportUsage, ...window }
-    const standing = { holder, fencingNumber: lease.fencingNumber }
-    const beganAtMs = clock.nowMs()
-    const outcome = await infrastructure.call(call, standing, () => lease.mayAct, beganAtMs + CALL_TIMEOUT_MS, scope)
-    this._noteCall(window, outcome, clock.nowMs() - beganAtMs)
-    if (!isFinal(outcome)) return this._pause()
+    const dutyHolder = { holder, fencingNumber: lease.fencingNumber }
+    const startedAtMs = clock.nowMs()
+    const outcome = await infrastructure.call(call, dutyHolder, () => lease.mayAct, startedAtMs + CALL_TIMEOUT_MS, scope)
+    this._logCall(window, outcome, clock.nowMs() - startedAtMs)
+    if (!isFinal(outcome)) return this._backOff()
     this._triesCount = 0
-    if (await this._commit({ kind: UsageCommandKind.Reported, windowId: window.windowId }, scope)) this._noteReported(window, outcome)
+    if (await this._commit({ kind: UsageCommandKind.Reported, windowId: window.windowId }, scope)) this._logReported(window, outcome)
   }
 
   /** Longer after each try: what hinders it lasts for seconds. */
-  private _pause (): void {
-    this._retryAtMs = this._parts.clock.nowMs() + Math.min(MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS * 2 ** this._triesCount)
+  private _backOff (): void {
+    this._retryAtMs = this._options.clock.nowMs() + Math.min(MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS * 2 ** this._triesCount)
     this._triesCount++
   }
 
-  private _noteCall ({ windowId }: UsageWindow, outcome: DutyOutcome, tookMs: number): void {
-    const { logger, metrics, lease } = this._parts
+  private _logCall ({ windowId }: UsageWindow, outcome: DutyOutcome, tookMs: number): void {
+    const { logger, metrics, lease } = this._options
     metrics.count(MetricName.DutyCalled, { duty: DutyKind.ReportUsage, outcome: outcome.kind })
     const reason = 'reason' in outcome ? outcome.reason : undefined
     logger.event(DutyEvent.CallEnded, { duty: DutyKind.ReportUsage, windowId, fencingNumber: lease.fencingNumber, mayAct: lease.mayAct, outcome: outcome.kind, reason, tookMs: Math.round(tookMs) })
   }
 
-  private _noteReported ({ windowId }: UsageWindow, { kind }: DutyOutcome): void {
-    const { logger, wallMs, windowMs, lateMs } = this._parts
+  private _logReported ({ windowId }: UsageWindow, { kind }: DutyOutcome): void {
+    const { logger, wallMs, windowMs, lateMs } = this._options
     const ageMs = Math.round(wallMs() - windowEndsAtMs(windowId, windowMs))
     logger.event(DutyEvent.WindowReported, { windowId, outcome: kind, ageMs, isLate: ageMs > lateMs })
   }
 
   private async _commit (command: UsageCommand, scope: Scope): Promise<boolean> {
-    const { clock, commit } = this._parts
+    const { clock, commit } = this._options
     return await commit(command, new Progress(clock, scope, clock.nowMs() + COMMIT_TIMEOUT_MS))
   }
 }
--- a/src/endpoints/endpointHealth.ts
+++ b/src/endpoints/endpointHealth.ts
@@ -4,14 +4,14 @@
  */
 import type { Clock } from '../utils/clock.js'
 import type { ReportedLoad } from './endpointClient.js'
-import { Suspicion } from './suspicion.js'
+import { CircuitBreaker } from './suspicion.js'
 
 /** A refusal for want of room is soon over. */
 const FULL_PAUSE_MS = 40
 /** Whether anything listens again is not asked more often: an endpoint that ended is back after a second or more. */
 const REFUSED_PAUSE_MS = 50
 /** One error may be the request's own. */
-const ACCUSING_ERRORS_COUNT = 2
+const EJECTING_ERRORS_COUNT = 2
 /** Weight of a new duration in the running mean. */
 const MEAN_WEIGHT = 0.2
 /** A mean that was not renewed for so long says nothing of the endpoint any more. */
@@ -32,25 +32,25 @@
 }
 
 /** What surrounds the health of one endpoint. */
-export interface HealthParts {
+export interface EndpointHealthOptions {
   clock: Clock
   /** Told of what is decided. */
-  onLeftOut?: (reason: FailureReason, forMs: number, failuresCount: number) => void
-  onProven?: () => void
+  onEjected?: (reason: FailureReason, forMs: number, failuresCount: number) => void
+  onReinstated?: () => void
   /** Whether so many endpoints of the service are left out that the fault is hardly theirs. */
   isWidespread?: () => boolean
 }
 
 export class EndpointHealth {
   runningCount = 0
-  private readonly _parts: HealthParts
+  private readonly _options: EndpointHealthOptions
   private readonly _clock: Clock
   /** It is not reached, or what runs there breaks off. */
-  private readonly _unreached: Suspicion
+  private readonly _connectionBreaker: CircuitBreaker
   /** It is reached and does not do what it is given. */
-  private readonly _failing: Suspicion
+  private readonly _errorBreaker: CircuitBreaker
   /** Requests that it failed, since it last began one well. */
-  private readonly _erredSubjects = new Set<string>()
+  private readonly _requestErrors = new Set<string>()
   private _fullUntilMs = Number.NEGATIVE_INFINITY
   private _refusedUntilMs = Number.NEGATIVE_INFINITY
   private _meanMs: number | undefined
@@ -58,37 +58,37 @@
   private _load: ReportedLoad | undefined
   private _loadAtMs = Number.NEGATIVE_INFINITY
 
-  constructor (parts: HealthParts) {
-    this._parts = parts
-    this._clock = parts.clock
-    this._unreached = new Suspicion(parts.clock)
-    this._failing = new Suspicion(parts.clock)
+  constructor (options: EndpointHealthOptions) {
+    this._options = options
+    this._clock = options.clock
+    this._connectionBreaker = new CircuitBreaker(options.clock)
+    this._errorBreaker = new CircuitBreaker(options.clock)
   }
 
   /** It gets no work: it failed a moment ago, or repeatedly while others did not. */
   get isSuspect (): boolean {
-    if (!this.isAccused) return false
-    return this._grounds().some(({ isActive, isPastFirst }) => isActive && !isPastFirst) || this._parts.isWidespread?.() !== true
+    if (!this.isBreakerOpen) return false
+    return this._breakers().some(({ isTripped, isPastFirstEjection }) => isTripped && !isPastFirstEjection) || this._options.isWidespread?.() !== true
   }
 
   /** By its own failures alone, whatever others do. */
-  get isAccused (): boolean {
-    return this._unreached.isActive || this._failing.isActive
+  get isBreakerOpen (): boolean {
+    return this._connectionBreaker.isTripped || this._errorBreaker.isTripped
   }
 
   /** It failed, and has not shown since that this is over: one request at a time tries it. */
   get isOnTrial (): boolean {
-    return this._unreached.failuresCount + this._failing.failuresCount > 0 && !this.isSuspect
+    return this._connectionBreaker.failuresCount + this._errorBreaker.failuresCount > 0 && !this.isSuspect
   }
 
   /** It was left out for failing what it was given, and has not done enough since. */
   get isFailing (): boolean {
-    return this._failing.failuresCount > 0
+    return this._errorBreaker.failuresCount > 0
   }
 
   /** Whether a request may begin there, as far as failures go. */
   get isOpen (): boolean {
-    return !this._unreached.isTrialUnderWay && !this._failing.isTrialUnderWay && !this.isSuspect
+    return !this._connectionBreaker.isProbeRunning && !this._errorBreaker.isProbeRunning && !this.isSuspect
   }
 
   get isFull (): boolean {
@@ -100,8 +100,8 @@
     return this._clock.nowMs() < this._refusedUntilMs
   }
 
-  get suspectUntilMs (): number {
-    return Math.max(this._unreached.untilMs, this._failing.untilMs)
+  get ejectedUntilMs (): number {
+    return Math.max(this._connectionBreaker.openUntilMs, this._errorBreaker.openUntilMs)
   }
 
   /** Mean duration of recent calls; undefined when there were none lately. */
@@ -132,88 +132,88 @@
   succeeded (durationMs: number, load: ReportedLoad | undefined): void {
     this.worked()
     this.accepted()
-    this.took(durationMs)
-    this.reported(load)
+    this.recordDuration(durationMs)
+    this.recordLoad(load)
   }
 
   /** Something came from it: it is reached, and runs what it was given. */
   worked (): void {
-    if (this._unreached.clear()) this._parts.onProven?.()
+    if (this._connectionBreaker.reset()) this._options.onReinstated?.()
   }
 
   /** It has begun to do what it was given, or has done it. */
   accepted (): void {
-    this._erredSubjects.clear()
-    if (this._failing.ease()) this._parts.onProven?.()
+    this._requestErrors.clear()
+    if (this._errorBreaker.recordSuccess()) this._options.onReinstated?.()
   }
 
   /**
    * It did not do what it was given at an instant: an error of its own, or no
    * beginning at all. A first one says nothing; several of different requests in
    * a row do.
-   * @param subject what it was given, whatever the try
+   * @param requestKey what it was given, whatever the try
    */
-  erred (subject: string, beganAtMs: number): void {
-    if (beganAtMs <= this._failing.notedAtMs) return
-    this._erredSubjects.add(subject)
-    this._weighErrors(beganAtMs)
+  failedRequest (requestKey: string, startedAtMs: number): void {
+    if (startedAtMs <= this._errorBreaker.lastFailureAtMs) return
+    this._requestErrors.add(requestKey)
+    this._evaluateErrors(startedAtMs)
   }
 
   /** Another endpoint did what this one had failed: that error counts twice, unless something went well here since. */
-  accuse (subject: string): void {
-    if (this._failing.isActive) return
-    this._erredSubjects.add(`${subject}, done elsewhere`)
-    this._weighErrors(this._clock.nowMs())
+  servedElsewhere (requestKey: string): void {
+    if (this._errorBreaker.isTripped) return
+    this._requestErrors.add(`${requestKey}, done elsewhere`)
+    this._evaluateErrors(this._clock.nowMs())
   }
 
   /** Others failed the same request: it speaks against itself. */
-  excuse (subject: string): void {
-    this._erredSubjects.delete(subject)
+  failedElsewhere (requestKey: string): void {
+    this._requestErrors.delete(requestKey)
   }
 
   /** A request or run begins there. */
   began (): void {
-    this._unreached.began()
-    this._failing.began()
+    this._connectionBreaker.began()
+    this._errorBreaker.began()
   }
 
   /** A call took at least so long, whatever came of it. */
-  took (durationMs: number): void {
+  recordDuration (durationMs: number): void {
     this._meanMs = this.meanMs === undefined ? durationMs : this.meanMs + MEAN_WEIGHT * (durationMs - this.meanMs)
     this._meanAtMs = this._clock.nowMs()
   }
 
-  reported (load: ReportedLoad | undefined): void {
+  recordLoad (load: ReportedLoad | undefined): void {
     if (!load) return
     this._load = load
     this._loadAtMs = this._clock.nowMs()
   }
 
   /** Something that began there at an instant brought nothing. */
-  failed (reason: FailureReason, beganAtMs: number): void {
-    const forMs = this._unreached.note(beganAtMs)
-    if (forMs !== undefined) this._parts.onLeftOut?.(reason, forMs, this._unreached.failuresCount)
+  failed (reason: FailureReason, startedAtMs: number): void {
+    const forMs = this._connectionBreaker.recordFailure(startedAtMs)
+    if (forMs !== undefined) this._options.onEjected?.(reason, forMs, this._connectionBreaker.failuresCount)
   }
 
   /** Its address took no connection. */
-  refused (beganAtMs: number): void {
-    this.failed(FailureReason.Unreached, beganAtMs)
+  refused (startedAtMs: number): void {
+    this.failed(FailureReason.Unreached, startedAtMs)
     this._refusedUntilMs = this._clock.nowMs() + REFUSED_PAUSE_MS
   }
 
   /** It refused for want of room. */
   wasFull (load: ReportedLoad | undefined): void {
     this._fullUntilMs = this._clock.nowMs() + FULL_PAUSE_MS
-    this.reported(load)
+    this.recordLoad(load)
   }
 
-  private _weighErrors (beganAtMs: number): void {
-    const isAccused = this._failing.failuresCount > 0 || this._erredSubjects.size >= ACCUSING_ERRORS_COUNT
-    const forMs = isAccused ? this._failing.note(beganAtMs) : undefined
-    if (forMs !== undefined) this._parts.onLeftOut?.(FailureReason.Failing, forMs, this._failing.failuresCount)
+  private _evaluateErrors (startedAtMs: number): void {
+    const shouldEject = this._errorBreaker.failuresCount > 0 || this._requestErrors.size >= EJECTING_ERRORS_COUNT
+    const forMs = shouldEject ? this._errorBreaker.recordFailure(startedAtMs) : undefined
+    if (forMs !== undefined) this._options.onEjected?.(FailureReason.Failing, forMs, this._errorBreaker.failuresCount)
   }
 
-  private _grounds (): Suspicion[] {
-    return [this._unreached, this._failing]
+  private _breakers (): CircuitBreaker[] {
+    return [this._connectionBreaker, this._errorBreaker]
   }
 }
--- a/src/endpoints/failureAccount.ts
+++ b/src/endpoints/failureAccount.ts
@@ -11,14 +11,14 @@
 
 export class FailureAccount {
   /** What the request is known by, whichever try it is; worked out when it fails. */
-  private readonly _subjectOf: () => string
+  private readonly _requestKeyOf: () => string
   private readonly _failedAt = new Set<string>()
   private _failuresCount = 0
   /** The endpoint that is blamed, while nothing speaks for it. */
-  private _blamed: EndpointHealth | undefined
+  private _suspected: EndpointHealth | undefined
 
-  constructor (subjectOf: () => string) {
-    this._subjectOf = subjectOf
+  constructor (requestKeyOf: () => string) {
+    this._requestKeyOf = requestKeyOf
   }
 
   /** Times that an endpoint tried it and failed. */
@@ -36,31 +36,31 @@
   }
 
   /** An endpoint answered the request, which was given to it at an instant, with an error. */
-  note (endpointId: string, health: EndpointHealth, beganAtMs: number, status: number): void {
+  note (endpointId: string, health: EndpointHealth, startedAtMs: number, status: number): void {
     if (status === FAILED_STATUS) this._failuresCount++
-    this.noteUnbegun(endpointId, health, beganAtMs)
+    this.noteUnbegun(endpointId, health, startedAtMs)
   }
 
   /** An endpoint took the request and did not begin it: no answered failure, and the same to whoever chooses an endpoint. */
-  noteUnbegun (endpointId: string, health: EndpointHealth, beganAtMs: number): void {
-    const subject = this._subjectOf()
+  noteUnbegun (endpointId: string, health: EndpointHealth, startedAtMs: number): void {
+    const requestKey = this._requestKeyOf()
     const isFirst = this._failedAt.size === 0
     const isOther = !isFirst && !this._failedAt.has(endpointId)
     this._failedAt.add(endpointId)
     if (isFirst) {
-      this._blamed = health
-      health.erred(subject, beganAtMs)
+      this._suspected = health
+      health.failedRequest(requestKey, startedAtMs)
     } else if (isOther) {
-      this._blamed?.excuse(subject)
-      this._blamed = undefined
+      this._suspected?.failedElsewhere(requestKey)
+      this._suspected = undefined
     }
   }
 
   /** An endpoint has begun well with the request, or done it. */
   settled (endpointId: string): void {
-    if (!this._blamed) return
+    if (!this._suspected) return
     const isOther = !this._failedAt.has(endpointId)
-    if (isOther) this._blamed.accuse(this._subjectOf())
-    this._blamed = undefined
+    if (isOther) this._suspected.servedElsewhere(this._requestKeyOf())
+    this._suspected = undefined
   }
 }
--- a/src/endpoints/suspicion.ts
+++ b/src/endpoints/suspicion.ts
@@ -8,18 +8,18 @@
 import type { Clock } from '../utils/clock.js'
 
 /** Long enough for connections that were reset together to be made anew. */
-export const FIRST_SUSPICION_MS = 100
+export const FIRST_EJECTION_MS = 100
 /** An endpoint that is well again gets no work for so long at most; an endpoint that is not costs one request its time this often. */
-export const MAX_SUSPICION_MS = 1_600
+export const MAX_EJECTION_MS = 1_600
 /** A trial has shown by then what comes of it, or somebody else may try. */
-export const TRIAL_MS = 1_000
+export const PROBE_TIMEOUT_MS = 1_000
 
-export class Suspicion {
+export class CircuitBreaker {
   private readonly _clock: Clock
   private _failuresCount = 0
-  private _notedAtMs = Number.NEGATIVE_INFINITY
-  private _untilMs = Number.NEGATIVE_INFINITY
-  private _trialUntilMs = Number.NEGATIVE_INFINITY
+  private _lastFailureAtMs = Number.NEGATIVE_INFINITY
+  private _openUntilMs = Number.NEGATIVE_INFINITY
+  private _probeUntilMs = Number.NEGATIVE_INFINITY
 
   constructor (clock: Clock) {
     this._clock = clock
@@ -30,71 +30,71 @@
     return this._failuresCount
   }
 
-  get untilMs (): number {
-    return this._untilMs
+  get openUntilMs (): number {
+    return this._openUntilMs
   }
 
   /** When the last failure that said something new was noted. */
-  get notedAtMs (): number {
-    return this._notedAtMs
+  get lastFailureAtMs (): number {
+    return this._lastFailureAtMs
   }
 
   /** No work at all. */
-  get isActive (): boolean {
-    return this._failuresCount > 0 && this._clock.nowMs() < this._untilMs
+  get isTripped (): boolean {
+    return this._failuresCount > 0 && this._clock.nowMs() < this._openUntilMs
   }
 
   /** The first moment is over: all that could be shared with other endpoints has had its time. */
-  get isPastFirst (): boolean {
-    return this._clock.nowMs() >= this._notedAtMs + FIRST_SUSPICION_MS
+  get isPastFirstEjection (): boolean {
+    return this._clock.nowMs() >= this._lastFailureAtMs + FIRST_EJECTION_MS
   }
 
   /** Its time is over, and nothing has shown yet that its ground is. */
-  get isOnTrial (): boolean {
-    return this._failuresCount > 0 && !this.isActive
+  get isHalfOpen (): boolean {
+    return this._failuresCount > 0 && !this.isTripped
   }
 
   /** A request tries it at the moment. */
-  get isTrialUnderWay (): boolean {
-    return this._failuresCount > 0 && this._clock.nowMs() < this._trialUntilMs
+  get isProbeRunning (): boolean {
+    return this._failuresCount > 0 && this._clock.nowMs() < this._probeUntilMs
   }
 
   /**
    * Something that began at an instant has failed.
    * @returns for how long that leaves the endpoint out; undefined when it says nothing new
    */
-  note (beganAtMs: number): number | undefined {
-    if (beganAtMs <= this._notedAtMs) return undefined
+  recordFailure (startedAtMs: number): number | undefined {
+    if (startedAtMs <= this._lastFailureAtMs) return undefined
     const nowMs = this._clock.nowMs()
-    const forMs = Math.min(MAX_SUSPICION_MS, FIRST_SUSPICION_MS * 2 ** this._failuresCount)
+    const forMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** this._failuresCount)
     this._failuresCount++
-    this._notedAtMs = nowMs
-    this._untilMs = nowMs + forMs
-    this._trialUntilMs = Number.NEGATIVE_INFINITY
+    this._lastFailureAtMs = nowMs
+    this._openUntilMs = nowMs + forMs
+    this._probeUntilMs = Number.NEGATIVE_INFINITY
     return forMs
   }
 
   /** Something begins at the endpoint. */
   began (): void {
-    if (this.isOnTrial) this._trialUntilMs = this._clock.nowMs() + TRIAL_MS
+    if (this.isHalfOpen) this._probeUntilMs = this._clock.nowMs() + PROBE_TIMEOUT_MS
   }
 
   /** What it was left out for went well once: one failure is taken back; true when that was the last one. */
-  ease (): boolean {
+  recordSuccess (): boolean {
     if (this._failuresCount === 0) return false
-    if (this._failuresCount === 1) return this.clear()
+    if (this._failuresCount === 1) return this.reset()
     this._failuresCount--
-    this._untilMs = Number.NEGATIVE_INFINITY
-    this._trialUntilMs = Number.NEGATIVE_INFINITY
+    this._openUntilMs = Number.NEGATIVE_INFINITY
+    this._probeUntilMs = Number.NEGATIVE_INFINITY
     return false
   }
 
   /** The ground is gone; true when there was one. */
-  clear (): boolean {
+  reset (): boolean {
     if (this._failuresCount === 0) return false
     this._failuresCount = 0
-    this._untilMs = Number.NEGATIVE_INFINITY
-    this._trialUntilMs = Number.NEGATIVE_INFINITY
+    this._openUntilMs = Number.NEGATIVE_INFINITY
+    this._probeUntilMs = Number.NEGATIVE_INFINITY
     return true
   }
 }
--- a/src/engineSupply/engineSupply.ts
+++ b/src/engineSupply/engineSupply.ts
@@ -13,20 +13,20 @@
 import type { Metrics } from '../utils/metrics.js'
 import type { Scope } from '../utils/scope.js'
 import type { SupplyLedger, SupplyOrder } from './supplyLedger.js'
-import { planSupply, type PlannedPlace, type SuppliedPlace, type SupplyNeed } from './supplyPlan.js'
+import { planSupply, type PlannedSupply, type DataCentreSupply, type SupplyNeed } from './supplyPlan.js'
 
-const LOOK_INTERVAL_MS = 250
+const CHECK_INTERVAL_MS = 250
 const CALL_TIMEOUT_MS = 1_500
 /** Calls to the infrastructure are few, and each costs something. */
 const RETRY_PAUSE_MS = 1_000
 /** A data centre that has none to be had is asked again after this. */
-const DRY_PAUSE_MS = 5_000
+const OUT_OF_CAPACITY_PAUSE_MS = 5_000
 /** What was ordered is not given back sooner: engines that were lost come and go, and a start takes seconds. */
-const HOLD_MS = 15_000
+const MIN_HOLD_MS = 15_000
 /** Engines that did not come by so long after the time that a start takes are ordered once more. */
-const OVERDUE_MS = 3_000
+const OVERDUE_GRACE_MS = 3_000
 
-export interface EngineSupplyParts {
+export interface EngineSupplyOptions {
   clock: Clock
   logger: Logger
   metrics: Metrics
@@ -51,88 +51,88 @@
   sentAtMs: number
   isSettled: boolean
   /** There were none to be had. */
-  isDry: boolean
+  isOutOfCapacity: boolean
   notBeforeMs: number
 }
 
 export class EngineSupply {
-  private readonly _parts: EngineSupplyParts
+  private readonly _options: EngineSupplyOptions
   private readonly _sent = new Map<string, SentOrder>()
 
-  constructor (parts: EngineSupplyParts) {
-    this._parts = parts
+  constructor (options: EngineSupplyOptions) {
+    this._options = options
   }
 
   /** For as long as this host leads. */
   async run (scope: Scope): Promise<void> {
-    const { clock } = this._parts
+    const { clock } = this._options
     for (;;) {
-      await sleepUntil(clock, scope, clock.nowMs() + LOOK_INTERVAL_MS)
-      for (const service of this._parts.services()) {
-        if (service.engine && service.scaling && await this._isHeld(scope)) await this._supply(service, service.scaling, scope)
+      await sleepUntil(clock, scope, clock.nowMs() + CHECK_INTERVAL_MS)
+      for (const service of this._options.services()) {
+        if (service.engine && service.scaling && await this._holdsDuty(scope)) await this._reconcileService(service, service.scaling, scope)
       }
     }
   }
 
-  private async _isHeld (scope: Scope): Promise<boolean> {
-    const { lease, logger, claim } = this._parts
+  private async _holdsDuty (scope: Scope): Promise<boolean> {
+    const { lease, logger, claim } = this._options
     if (lease.mayAct) return true
     if (!lease.mayClaim || !await claim(scope)) return false
     logger.event(DutyEvent.DutyClaimed, { duty: DutyKind.OrderEndpoints, fencingNumber: lease.fencingNumber })
     return lease.mayAct
   }
 
-  private async _supply (service: RoutingService, scaling: ServiceScaling, scope: Scope): Promise<void> {
-    const places = this._placesOf(service.name, scaling)
-    if (places.every(({ keptCount, orderedKeptCount }) => keptCount === 0 && orderedKeptCount === undefined)) return
-    for (const place of planSupply(places, scaling, this._parts.needOf(service))) {
-      await this._settle(service, scaling, place, scope)
+  private async _reconcileService (service: RoutingService, scaling: ServiceScaling, scope: Scope): Promise<void> {
+    const supplies = this._currentSupplies(service.name, scaling)
+    if (supplies.every(({ permanentCount, orderedPermanentCount }) => permanentCount === 0 && orderedPermanentCount === undefined)) return
+    for (const planned of planSupply(supplies, scaling, this._options.needOf(service))) {
+      await this._reconcileDataCentre(service, scaling, planned, scope)
     }
   }
 
-  private _placesOf (service: string, { prices }: ServiceScaling): SuppliedPlace[] {
+  private _currentSupplies (service: string, { prices }: ServiceScaling): DataCentreSupply[] {
     return Object.keys(prices).map(dataCentre => ({
       dataCentre,
-      keptCount: this._countOf({ service, dataCentre, isReclaimable: false }),
-      orderedKeptCount: this._parts.ledger.orderOf({ service, dataCentre, isReclaimable: false }),
-      isDry: this._isDry({ service, dataCentre })
+      permanentCount: this._countOf({ service, dataCentre, isReclaimable: false }),
+      orderedPermanentCount: this._options.ledger.orderOf({ service, dataCentre, isReclaimable: false }),
+      isOutOfCapacity: this._isOutOfCapacity({ service, dataCentre })
     }))
   }
 
-  private async _settle ({ name: service }: RoutingService, { bootMs }: ServiceScaling, { dataCentre, keptCount, reclaimableCount }: PlannedPlace, scope: Scope): Promise<void> {
-    const wanted = [{ isReclaimable: false, desiredCount: keptCount }, { isReclaimable: true, desiredCount: reclaimableCount }]
+  private async _reconcileDataCentre ({ name: service }: RoutingService, { bootMs }: ServiceScaling, { dataCentre, permanentCount, reclaimableCount }: PlannedSupply, scope: Scope): Promise<void> {
+    const wanted = [{ isReclaimable: false, desiredCount: permanentCount }, { isReclaimable: true, desiredCount: reclaimableCount }]
     for (const { isReclaimable, desiredCount } of wanted) {
       const order = { service, dataCentre, isReclaimable, desiredCount }
-      if (this._isDue(order, bootMs)) await this._order(order, scope)
+      if (this._isDue(order, bootMs)) await this._sendOrder(order, scope)
     }
   }
 
   /** An order is sent when it changes, has no clear answer, or brought fewer engines than it should. */
   private _isDue (order: SupplyOrder, bootMs: number): boolean {
-    const { clock } = this._parts
+    const { clock } = this._options
     const nowMs = clock.nowMs()
-    const sent = this._sent.get(subjectOf(order))
+    const sent = this._sent.get(orderKeyOf(order))
     const presentCount = this._countOf(order)
     if (!sent) return presentCount !== order.desiredCount
     if (nowMs < sent.notBeforeMs) return false
-    if (order.desiredCount < sent.desiredCount && nowMs < sent.sentAtMs + HOLD_MS) return false
+    if (order.desiredCount < sent.desiredCount && nowMs < sent.sentAtMs + MIN_HOLD_MS) return false
     if (sent.desiredCount !== order.desiredCount || !sent.isSettled) return true
-    return presentCount < order.desiredCount && nowMs >= sent.sentAtMs + bootMs + OVERDUE_MS
+    return presentCount < order.desiredCount && nowMs >= sent.sentAtMs + bootMs + OVERDUE_GRACE_MS
   }
 
-  private async _order (order: SupplyOrder, scope: Scope): Promise<void> {
-    const { clock, lease, holder, infrastructure, ledger, note } = this._parts
+  private async _sendOrder (order: SupplyOrder, scope: Scope): Promise<void> {
+    const { clock, lease, holder, infrastructure, ledger, note } = this._options
     if (ledger.orderOf(order) !== order.desiredCount && !await note(order, scope)) return
     const call: DutyCall = { kind: DutyKind.OrderEndpoints, ...order }
     const sentAtMs = clock.nowMs()
     const outcome = await infrastructure.call(call, { holder, fencingNumber: lease.fencingNumber }, () => lease.mayAct, sentAtMs + CALL_TIMEOUT_MS, scope)
-    const pauseMs = outcome.kind === 'conflict' ? DRY_PAUSE_MS : RETRY_PAUSE_MS
-    this._sent.set(subjectOf(order), { desiredCount: order.desiredCount, sentAtMs, isSettled: outcome.kind === 'done', isDry: outcome.kind === 'conflict', notBeforeMs: clock.nowMs() + (outcome.kind === 'done' ? 0 : pauseMs) })
-    this._note(order, outcome, clock.nowMs() - sentAtMs)
+    const pauseMs = outcome.kind === 'conflict' ? OUT_OF_CAPACITY_PAUSE_MS : RETRY_PAUSE_MS
+    this._sent.set(orderKeyOf(order), { desiredCount: order.desiredCount, sentAtMs, isSettled: outcome.kind === 'done', isOutOfCapacity: outcome.kind === 'conflict', notBeforeMs: clock.nowMs() + (outcome.kind === 'done' ? 0 : pauseMs) })
+    this._logOrder(order, outcome, clock.nowMs() - sentAtMs)
   }
 
-  private _note (order: SupplyOrder, outcome: DutyOutcome, tookMs: number): void {
-    const { logger, metrics, lease } = this._parts
+  private _logOrder (order: SupplyOrder, outcome: DutyOutcome, tookMs: number): void {
+    const { logger, metrics, lease } = this._options
     const duty = DutyKind.OrderEndpoints
     metrics.count(MetricName.DutyCalled, { duty, outcome: outcome.kind })
     metrics.gauge(MetricName.EnginesOrdered, order.desiredCount, { dataCentre: order.dataCentre, kind: order.isReclaimable ? 'reclaimable' : 'kept' })
@@ -140,19 +140,19 @@
     logger.event(DutyEvent.CallEnded, { duty, ...order, presentCount: this._countOf(order), fencingNumber: lease.fencingNumber, mayAct: lease.mayAct, outcome: outcome.kind, reason, tookMs: Math.round(tookMs) })
   }
 
-  private _isDry ({ service, dataCentre }: { service: string, dataCentre: string }): boolean {
-    const sent = this._sent.get(subjectOf({ service, dataCentre, isReclaimable: true }))
-    return sent?.isDry === true && this._parts.clock.nowMs() < sent.notBeforeMs
+  private _isOutOfCapacity ({ service, dataCentre }: { service: string, dataCentre: string }): boolean {
+    const sent = this._sent.get(orderKeyOf({ service, dataCentre, isReclaimable: true }))
+    return sent?.isOutOfCapacity === true && this._options.clock.nowMs() < sent.notBeforeMs
   }
 
   /** Engines of a kind that take work. */
   private _countOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): number {
-    return this._parts.endpointsOf(service).filter(endpoint => (
+    return this._options.endpointsOf(service).filter(endpoint => (
       endpoint.dataCentre === dataCentre && (endpoint.isReclaimable ?? false) === isReclaimable && endpoint.lifecycle === EndpointLifecycle.Ready
     )).length
   }
 }
 
-function subjectOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): string {
+function orderKeyOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): string {
   return `${service} ${dataCentre} ${String(isReclaimable)}`
 }
--- a/src/engineSupply/supplyLedger.ts
+++ b/src/engineSupply/supplyLedger.ts
@@ -22,7 +22,7 @@
 
   /** The latest order of a kind of engine; undefined before the first. */
   orderOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): number | undefined {
-    return this._orders.get(subjectOf({ service, dataCentre, isReclaimable }))?.desiredCount
+    return this._orders.get(orderKeyOf({ service, dataCentre, isReclaimable }))?.desiredCount
   }
 
   claim (holder: string): void {
@@ -31,7 +31,7 @@
 
   order ({ service, dataCentre, isReclaimable, desiredCount }: SupplyOrder): void {
     const order = { service, dataCentre, isReclaimable, desiredCount }
-    this._orders.set(subjectOf(order), order)
+    this._orders.set(orderKeyOf(order), order)
   }
 
   snapshot (): SupplySnapshot {
@@ -45,6 +45,6 @@
   }
 }
 
-function subjectOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): string {
+function orderKeyOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): string {
   return `${service} ${dataCentre} ${isReclaimable ? 'reclaimable' : 'kept'}`
 }
--- a/src/engineSupply/supplyPlan.ts
+++ b/src/engineSupply/supplyPlan.ts
@@ -12,14 +12,14 @@
 import type { ServiceScaling } from '../protocol/routing.js'
 
 /** Engines of a service in one data centre, as they are now. */
-export interface SuppliedPlace {
+export interface DataCentreSupply {
   dataCentre: string
   /** Engines kept for good that take work. */
-  keptCount: number
+  permanentCount: number
   /** Engines kept for good that were ordered; undefined before the first order. */
-  orderedKeptCount: number | undefined
+  orderedPermanentCount: number | undefined
   /** There were no reclaimable ones to be had lately. */
-  isDry: boolean
+  isOutOfCapacity: boolean
 }
 
 export interface SupplyNeed {
@@ -28,30 +28,30 @@
   slotsCount: number
 }
 
-export interface PlannedPlace {
+export interface PlannedSupply {
   dataCentre: string
-  keptCount: number
+  permanentCount: number
   reclaimableCount: number
 }
 
 /** Runs at a time whose events a leader reads without holding up its heartbeats. */
-const MOST_RUNS_COUNT = 250
+const MAX_CONCURRENT_RUNS_COUNT = 250
 
-function neededCount ({ itemsCount, slotsCount }: SupplyNeed): number {
-  return Math.floor(Math.min(MOST_RUNS_COUNT, itemsCount ?? MOST_RUNS_COUNT) / Math.max(1, slotsCount))
+function neededEnginesCount ({ itemsCount, slotsCount }: SupplyNeed): number {
+  return Math.floor(Math.min(MAX_CONCURRENT_RUNS_COUNT, itemsCount ?? MAX_CONCURRENT_RUNS_COUNT) / Math.max(1, slotsCount))
 }
 
 /** The engines that each data centre should have. */
-export function planSupply (places: readonly SuppliedPlace[], { maxCount, minCount, reclaimablePrice }: ServiceScaling, need: SupplyNeed): PlannedPlace[] {
-  const planned = places.map(({ dataCentre, keptCount, orderedKeptCount }) => {
-    const wantedCount = Math.min(maxCount, Math.max(minCount, orderedKeptCount ?? keptCount))
-    return { dataCentre, keptCount: wantedCount, reclaimableCount: 0 }
+export function planSupply (supplies: readonly DataCentreSupply[], { maxCount, minCount, reclaimablePrice }: ServiceScaling, need: SupplyNeed): PlannedSupply[] {
+  const planned = supplies.map(({ dataCentre, permanentCount, orderedPermanentCount }) => {
+    const wantedCount = Math.min(maxCount, Math.max(minCount, orderedPermanentCount ?? permanentCount))
+    return { dataCentre, permanentCount: wantedCount, reclaimableCount: 0 }
   })
   if (reclaimablePrice === undefined) return planned
-  const dryNames = new Set(places.filter(({ isDry }) => isDry).map(({ dataCentre }) => dataCentre))
-  const presentCount = places.reduce((sum, { keptCount }) => sum + keptCount, 0)
-  for (let missingCount = neededCount(need) - presentCount; missingCount > 0; missingCount--) {
-    const open = planned.filter(({ dataCentre, keptCount, reclaimableCount }) => keptCount + reclaimableCount < maxCount && !dryNames.has(dataCentre))
+  const exhaustedDataCentres = new Set(supplies.filter(({ isOutOfCapacity }) => isOutOfCapacity).map(({ dataCentre }) => dataCentre))
+  const presentCount = supplies.reduce((sum, { permanentCount }) => sum + permanentCount, 0)
+  for (let missingCount = neededEnginesCount(need) - presentCount; missingCount > 0; missingCount--) {
+    const open = planned.filter(({ dataCentre, permanentCount, reclaimableCount }) => permanentCount + reclaimableCount < maxCount && !exhaustedDataCentres.has(dataCentre))
     const next = open.sort((left, right) => left.reclaimableCount - right.reclaimableCount)[0]
     if (!next) break
     next.reclaimableCount++
--- a/src/fleet/fleetFollower.ts
+++ b/src/fleet/fleetFollower.ts
@@ -43,11 +43,11 @@
  */
 export const LEAVE_KNOWN_WITHIN_MS = 150 + FOLLOW_INTERVAL_MS + FOLLOW_TIMEOUT_MS
 /** A host that waited so long for a confirmed routing configuration takes an unconfirmed one: without a quorum none will come. */
-const UNCONFIRMED_AFTER_MS = 3_000
+const ACCEPT_UNCONFIRMED_AFTER_MS = 3_000
 /** A control host that is in no list of members any more is given up after so long. */
 const FORGET_ADDRESS_AFTER_MS = 30_000
 
-export interface FleetFollowerParts {
+export interface FleetFollowerOptions {
   clock: Clock
   transport: Transport
   logger: Logger
@@ -64,18 +64,18 @@
   onFatal: (error: unknown) => void
 }
 
-interface Followed {
+interface FollowedHost {
   scope: Scope
   /** When it last was in a list of members, or answered. */
-  namedAtMs: number
+  lastListedAtMs: number
   /** The control hosts that it told of last. */
-  namedAddresses: string[]
+  listedAddresses: string[]
   /** When the latest call that it answered was made. */
-  answeredCallAtMs: number
+  lastAnsweredCallAtMs: number
 }
 
 /** What a connection has told of the use of client accounts. */
-interface ToldUsage {
+interface SentUsage {
   revision: number
   settledBefore: number
 }
@@ -83,22 +83,22 @@
 export class FleetFollower {
   /** The time of day as most hosts have it. */
   readonly time: FleetTime
-  private readonly _parts: FleetFollowerParts
-  private readonly _followed = new Map<string, Followed>()
-  private readonly _describe = new Signal()
+  private readonly _options: FleetFollowerOptions
+  private readonly _followed = new Map<string, FollowedHost>()
+  private readonly _hostChanged = new Signal()
   private readonly _startedAtMs: number
   private _unconfirmed: Routing | undefined
 
-  constructor (parts: FleetFollowerParts) {
-    this._parts = parts
-    this._startedAtMs = parts.clock.nowMs()
-    this.time = new FleetTime(parts.clock)
+  constructor (options: FleetFollowerOptions) {
+    this._options = options
+    this._startedAtMs = options.clock.nowMs()
+    this.time = new FleetTime(options.clock)
   }
 
   start (): void {
-    const { drainMs, logger } = this._parts
+    const { drainMs, logger } = this._options
     if (drainMs !== undefined && drainMs < LEAVE_KNOWN_WITHIN_MS) logger.event(FleetEvent.LeaveBoundShort, { drainMs, knownWithinMs: LEAVE_KNOWN_WITHIN_MS })
-    this.follow(this._parts.seedAddresses)
+    this.follow(this._options.seedAddresses)
   }
 
   /** Control hosts followed now. */
@@ -108,40 +108,40 @@
 
   /** For how long no majority of the control hosts has answered: what they have decided since may not be known here. */
   outOfTouchMs (): number {
-    const answered = [...this._followed.values()].map(({ answeredCallAtMs }) => answeredCallAtMs).sort((left, right) => right - left)
-    const heardAtMs = answered[Math.floor(answered.length / 2)] ?? Number.NEGATIVE_INFINITY
-    return this._parts.clock.nowMs() - heardAtMs
+    const answered = [...this._followed.values()].map(({ lastAnsweredCallAtMs }) => lastAnsweredCallAtMs).sort((left, right) => right - left)
+    const majorityAnsweredAtMs = answered[Math.floor(answered.length / 2)] ?? Number.NEGATIVE_INFINITY
+    return this._options.clock.nowMs() - majorityAnsweredAtMs
   }
 
   /** Tells all control hosts at once that this host has changed. */
   announceChange (): void {
-    this._describe.notify()
+    this._hostChanged.notify()
   }
 
   /** Follows these control hosts too. */
   follow (addresses: string[]): void {
-    const nowMs = this._parts.clock.nowMs()
+    const nowMs = this._options.clock.nowMs()
     for (const address of addresses) {
       const followed = this._followed.get(address)
-      if (followed) followed.namedAtMs = nowMs
-      else this._begin(address)
+      if (followed) followed.lastListedAtMs = nowMs
+      else this._startFollowing(address)
     }
   }
 
-  private _begin (address: string): void {
-    const { supervisor, clock } = this._parts
+  private _startFollowing (address: string): void {
+    const { supervisor, clock } = this._options
     const scope = supervisor.spawn(`control host ${address}`, taskScope => this._run(address, taskScope))
-    this._followed.set(address, { scope, namedAtMs: clock.nowMs(), namedAddresses: [], answeredCallAtMs: Number.NEGATIVE_INFINITY })
+    this._followed.set(address, { scope, lastListedAtMs: clock.nowMs(), listedAddresses: [], lastAnsweredCallAtMs: Number.NEGATIVE_INFINITY })
   }
 
   private async _run (address: string, scope: Scope): Promise<void> {
-    const { clock, view, logger } = this._parts
+    const { clock, view, logger } = this._options
     for (;;) {
       const peer = await this._connect(address, scope)
       if (peer) {
         logger.event(FleetEvent.ControlHostFollowed, { address })
         await this._followOver(peer, address, scope)
-        view.forgetHostsOf(address)
+        view.removeHostsOf(address)
         logger.event(FleetEvent.ControlHostLost, { address, reason: peer.connection.scope.closeReason ?? '' })
       }
       await sleepUntil(clock, scope, clock.nowMs() + RECONNECT_PAUSE_MS)
@@ -150,65 +150,65 @@
 
   /** Repeats the call until the connection is lost, or calls over it go unanswered. */
   private async _followOver (peer: RpcPeer, address: string, scope: Scope): Promise<void> {
-    const { clock } = this._parts
+    const { clock } = this._options
     let unansweredCount = 0
     /** How this host was described in the last call, if that was answered: the other side tells all again otherwise. */
-    let told = ''
-    const usage: ToldUsage = { revision: 0, settledBefore: Number.NEGATIVE_INFINITY }
+    let sentDescription = ''
+    const usage: SentUsage = { revision: 0, settledBefore: Number.NEGATIVE_INFINITY }
     while (!peer.connection.scope.isClosed && unansweredCount < MAX_UNANSWERED_COUNT) {
       const calledAtMs = clock.nowMs()
-      const host = this._parts.describe()
+      const host = this._options.describe()
       const description = JSON.stringify(host)
-      const isAnswered = await this._callOnce(peer, address, scope, description === told ? undefined : host, usage)
-      told = isAnswered ? description : ''
+      const isAnswered = await this._callOnce(peer, address, scope, description === sentDescription ? undefined : host, usage)
+      sentDescription = isAnswered ? description : ''
       unansweredCount = isAnswered ? 0 : unansweredCount + 1
-      if (isAnswered) await this._describe.wait(scope, { clock, deadlineMs: calledAtMs + this._intervalMs() })
+      if (isAnswered) await this._hostChanged.wait(scope, { clock, deadlineMs: calledAtMs + this._intervalMs() })
     }
     peer.connection.close('calls go unanswered')
   }
 
   private _intervalMs (): number {
-    const waitsForQuorum = this._parts.view.routing === undefined && this._unconfirmed !== undefined
+    const waitsForQuorum = this._options.view.routing === undefined && this._unconfirmed !== undefined
     return waitsForQuorum ? UNCONFIRMED_INTERVAL_MS : FOLLOW_INTERVAL_MS
   }
 
-  private async _callOnce (peer: RpcPeer, address: string, scope: Scope, host: FleetHost | undefined, told: ToldUsage): Promise<boolean> {
-    const { clock, view } = this._parts
+  private async _callOnce (peer: RpcPeer, address: string, scope: Scope, host: FleetHost | undefined, sentUsage: SentUsage): Promise<boolean> {
+    const { clock, view } = this._options
     const calledAtMs = clock.nowMs()
-    const usage = this._usageSince(told)
+    const usage = this._usageSince(sentUsage)
     const request = { host, routingVersion: view.routing?.version, wallMs: clock.wallMs(), usage: usage?.report }
     const outcome = await peer.call(followMethod, request, new Progress(clock, scope, calledAtMs + FOLLOW_TIMEOUT_MS))
     if (outcome.kind !== 'replied') return false
-    if (usage) Object.assign(told, { revision: usage.revision, settledBefore: usage.report.settledBefore })
-    this._noteAnswer(address, calledAtMs, outcome.body.fleetWallMs)
+    if (usage) Object.assign(sentUsage, { revision: usage.revision, settledBefore: usage.report.settledBefore })
+    this._recordAnswer(address, calledAtMs, outcome.body.fleetWallMs)
     this._onReply(address, outcome.body)
     return true
   }
 
   /** Undefined when the connection has told all that there is. */
-  private _usageSince ({ revision, settledBefore }: ToldUsage): { revision: number, report: UsageReport } | undefined {
-    const usage = this._parts.usage?.reportSince(revision)
-    const isNews = usage !== undefined && (usage.revision !== revision || usage.report.settledBefore !== settledBefore)
-    return isNews ? usage : undefined
+  private _usageSince ({ revision, settledBefore }: SentUsage): { revision: number, report: UsageReport } | undefined {
+    const usage = this._options.usage?.reportSince(revision)
+    const hasChanged = usage !== undefined && (usage.revision !== revision || usage.report.settledBefore !== settledBefore)
+    return hasChanged ? usage : undefined
   }
 
-  private _noteAnswer (address: string, calledAtMs: number, fleetWallMs: number | undefined): void {
+  private _recordAnswer (address: string, calledAtMs: number, fleetWallMs: number | undefined): void {
     const followed = this._followed.get(address)
-    if (followed) followed.answeredCallAtMs = calledAtMs
-    if (fleetWallMs !== undefined) this.time.learn(address, { fleetWallMs, calledAtMs, answeredAtMs: this._parts.clock.nowMs() })
+    if (followed) followed.lastAnsweredCallAtMs = calledAtMs
+    if (fleetWallMs !== undefined) this.time.addSample(address, { fleetWallMs, calledAtMs, answeredAtMs: this._options.clock.nowMs() })
   }
 
   private _onReply (address: string, reply: FollowReply): void {
     const followed = this._followed.get(address)
-    if (followed && reply.controlAddresses) followed.namedAddresses = reply.controlAddresses
-    this.follow(followed?.namedAddresses ?? [])
+    if (followed && reply.controlAddresses) followed.listedAddresses = reply.controlAddresses
+    this.follow(followed?.listedAddresses ?? [])
     this._merge(address, reply.update, reply.isRoutingConfirmed)
-    this._forgetOldAddresses()
+    this._removeUnlistedAddresses()
   }
 
   /** The first routing configuration has to be confirmed; later ones can only be newer. */
   private _merge (address: string, update: FleetUpdate, isRoutingConfirmed: boolean): void {
-    const { view, clock, logger } = this._parts
+    const { view, clock, logger } = this._options
     const isFirst = view.routing === undefined
     if (update.routing && isFirst && !isRoutingConfirmed) {
       this._unconfirmed = newer(this._unconfirmed, update.routing)
@@ -216,24 +216,24 @@
     } else {
       view.merge(address, update)
     }
-    const waitedTooLong = clock.nowMs() - this._startedAtMs > UNCONFIRMED_AFTER_MS
+    const waitedTooLong = clock.nowMs() - this._startedAtMs > ACCEPT_UNCONFIRMED_AFTER_MS
     if (view.routing || !this._unconfirmed || !waitedTooLong) return
     logger.event(FleetEvent.RoutingUnconfirmed, { routingVersion: this._unconfirmed.version })
     view.merge(address, { routing: this._unconfirmed })
   }
 
-  private _forgetOldAddresses (): void {
-    const nowMs = this._parts.clock.nowMs()
-    for (const [address, { scope, namedAtMs }] of this._followed) {
-      if (nowMs - namedAtMs < FORGET_ADDRESS_AFTER_MS || this._followed.size <= 1) continue
+  private _removeUnlistedAddresses (): void {
+    const nowMs = this._options.clock.nowMs()
+    for (const [address, { scope, lastListedAtMs }] of this._followed) {
+      if (nowMs - lastListedAtMs < FORGET_ADDRESS_AFTER_MS || this._followed.size <= 1) continue
       this._followed.delete(address)
-      this._parts.view.forgetHostsOf(address)
+      this._options.view.removeHostsOf(address)
       scope.close('no longer a control host')
     }
   }
 
   private async _connect (address: string, scope: Scope): Promise<RpcPeer | undefined> {
-    const { clock, transport, onFatal } = this._parts
+    const { clock, transport, onFatal } = this._options
     const connectScope = scope.child('connection')
     const cancelTimer = clock.callAt(clock.nowMs() + CONNECT_TIMEOUT_MS, () => connectScope.close('connecting takes too long'))
     try {
--- a/src/fleet/fleetTime.ts
+++ b/src/fleet/fleetTime.ts
@@ -9,15 +9,15 @@
 import { median } from '../utils/median.js'
 
 /** Of the last few answers the one that took least time says most. */
-const KEPT_SAMPLES_COUNT = 6
+const MAX_SAMPLES_COUNT = 6
 
 interface Sample {
   /** By how much the fleet's time of day is ahead of the monotonic clock. */
-  aheadMs: number
+  offsetMs: number
   roundTripMs: number
 }
 
-export interface ToldTime {
+export interface ReceivedTime {
   /** The time of day that a control host gave with its answer. */
   fleetWallMs: number
   /** Instants of the monotonic clock. */
@@ -34,22 +34,22 @@
     this._clock = clock
   }
 
-  learn (controlAddress: string, { fleetWallMs, calledAtMs, answeredAtMs }: ToldTime): void {
+  addSample (controlAddress: string, { fleetWallMs, calledAtMs, answeredAtMs }: ReceivedTime): void {
     const roundTripMs = answeredAtMs - calledAtMs
     const samples = this._samples.get(controlAddress) ?? []
-    samples.push({ aheadMs: fleetWallMs + roundTripMs / 2 - answeredAtMs, roundTripMs })
-    if (samples.length > KEPT_SAMPLES_COUNT) samples.shift()
+    samples.push({ offsetMs: fleetWallMs + roundTripMs / 2 - answeredAtMs, roundTripMs })
+    if (samples.length > MAX_SAMPLES_COUNT) samples.shift()
     this._samples.set(controlAddress, samples)
   }
 
   /** The time of day at an instant of the monotonic clock; that of this host until a control host was heard. */
   wallAt (nowMs: number): number {
-    const told = [...this._samples.values()].map(aheadOf)
-    const aheadMs = told.length > 0 ? median(told) : this._clock.wallMs() - this._clock.nowMs()
-    return nowMs + aheadMs
+    const offsetsMs = [...this._samples.values()].map(bestOffsetMs)
+    const offsetMs = offsetsMs.length > 0 ? median(offsetsMs) : this._clock.wallMs() - this._clock.nowMs()
+    return nowMs + offsetMs
   }
 }
 
-function aheadOf (samples: Sample[]): number {
-  return samples.reduce((best, sample) => (sample.roundTripMs <= best.roundTripMs ? sample : best)).aheadMs
+function bestOffsetMs (samples: Sample[]): number {
+  return samples.reduce((best, sample) => (sample.roundTripMs <= best.roundTripMs ? sample : best)).offsetMs
 }
--- a/src/fleet/fleetView.ts
+++ b/src/fleet/fleetView.ts
@@ -24,11 +24,11 @@
   storeGroup: StoreGroup | undefined
   private readonly _logger: Logger
   private readonly _endpoints = new Map<string, FleetEndpoint>()
-  private readonly _goneIds = new Set<string>()
+  private readonly _removedIds = new Set<string>()
   /** Also of endpoints that are not known here: an outdated control host must not bring them back. */
   private readonly _leaves = new KnownLeaves()
   /** The newest start that was heard of, by the endpoint's name. */
-  private readonly _newestStarts = new Map<string, FleetEndpoint>()
+  private readonly _newestIncarnations = new Map<string, FleetEndpoint>()
   /** By the address of the control host that told of them, and by their id. */
   private readonly _hosts = new Map<string, Map<string, FleetHost>>()
   /** All of them, made anew after a change when it is asked for. */
@@ -36,7 +36,7 @@
   private readonly _weights = new Map<string, number>()
   private readonly _retirements = new Map<string, Retirement>()
   private readonly _listeners = new Set<() => void>()
-  private _notedStoreLeaderId: string | undefined
+  private _loggedStoreLeaderId: string | undefined
 
   constructor (logger: Logger) {
     this._logger = logger
@@ -95,27 +95,27 @@
   /** Takes over what a control host told. */
   merge (controlAddress: string, update: FleetUpdate): void {
     if (update.routing) this.replaceRouting(update.routing)
-    this._learnHosts(controlAddress, update)
+    this._updateHosts(controlAddress, update)
     this.storeGroup ??= update.storeGroup
     for (const { model, version } of update.weights ?? []) this._nameWeights(model, version)
     for (const retirement of update.retirements ?? []) this._retire(retirement)
-    this.quarantine.learn(update.quarantine ?? [])
-    this._learnEndpoints(update)
+    this.quarantine.merge(update.quarantine ?? [])
+    this._updateEndpoints(update)
     this._notify()
   }
 
   /** The control host is out of reach: what it said of hosts counts no more. */
-  forgetHostsOf (controlAddress: string): void {
+  removeHostsOf (controlAddress: string): void {
     if (!this._hosts.delete(controlAddress)) return
     this._merged = undefined
-    this._noteStoreLeader()
+    this._logStoreLeader()
     this._notify()
   }
 
   /** The endpoint at the address is another one now. */
   markGone (endpointId: string): void {
     const known = this._endpoints.get(endpointId)
-    if (known) this._learn({ ...known, lifecycle: EndpointLifecycle.Gone })
+    if (known) this._mergeEndpoint({ ...known, lifecycle: EndpointLifecycle.Gone })
     this._notify()
   }
 
@@ -131,26 +131,26 @@
   }
 
   /** Leaves first: an endpoint that left is not to be used for a moment. */
-  private _learnEndpoints ({ leaves = [], endpoints = [], silent = [] }: FleetUpdate): void {
-    for (const leave of leaves) this._learnLeave(leave)
-    for (const endpoint of endpoints) this._learn(endpoint)
-    for (const { endpointId, sequence } of silent) this._forgetSilent(endpointId, sequence)
+  private _updateEndpoints ({ leaves = [], endpoints = [], silent = [] }: FleetUpdate): void {
+    for (const leave of leaves) this._applyLeave(leave)
+    for (const endpoint of endpoints) this._mergeEndpoint(endpoint)
+    for (const { endpointId, sequence } of silent) this._removeSilent(endpointId, sequence)
   }
 
-  private _learnHosts (controlAddress: string, { hosts, changedHosts = [], lostHostIds = [] }: FleetUpdate): void {
+  private _updateHosts (controlAddress: string, { hosts, changedHosts = [], lostHostIds = [] }: FleetUpdate): void {
     if (!hosts && changedHosts.length === 0 && lostHostIds.length === 0) return
     const known = hosts ? new Map<string, FleetHost>() : this._hosts.get(controlAddress) ?? new Map<string, FleetHost>()
     for (const host of [...hosts ?? [], ...changedHosts]) known.set(host.hostId, host)
     for (const hostId of lostHostIds) known.delete(hostId)
     this._hosts.set(controlAddress, known)
     this._merged = undefined
-    this._noteStoreLeader()
+    this._logStoreLeader()
   }
 
-  private _noteStoreLeader (): void {
+  private _logStoreLeader (): void {
     const leader = this.storeLeader()
-    if (leader?.hostId === this._notedStoreLeaderId) return
-    this._notedStoreLeaderId = leader?.hostId
+    if (leader?.hostId === this._loggedStoreLeaderId) return
+    this._loggedStoreLeaderId = leader?.hostId
     if (leader) this._logger.event(FleetEvent.StoreLeaderKnown, { hostId: leader.hostId, hostName: leader.hostName, term: termOf(leader) })
     else this._logger.event(FleetEvent.StoreLeaderLost)
   }
@@ -166,51 +166,51 @@
     if (known?.state !== RetirementState.Completed) this._retirements.set(retirement.hostName, retirement)
   }
 
-  private _learnLeave (leave: EndpointLeave): void {
-    const newest = this._newestStarts.get(leave.name)
+  private _applyLeave (leave: EndpointLeave): void {
+    const newest = this._newestIncarnations.get(leave.name)
     this._leaves.note(leave, newest?.bornAtMs)
     const known = newest && this._endpoints.get(newest.endpointId)
-    if (known && this._leaves.lifecycleOf(known) > known.lifecycle) this._learn(known)
+    if (known && this._leaves.lifecycleOf(known) > known.lifecycle) this._mergeEndpoint(known)
   }
 
-  private _learn (told: FleetEndpoint): void {
-    const { endpointId } = told
-    if (this._goneIds.has(endpointId) || !this._isNewestStart(told)) return
+  private _mergeEndpoint (received: FleetEndpoint): void {
+    const { endpointId } = received
+    if (this._removedIds.has(endpointId) || !this._isNewestIncarnation(received)) return
     const known = this._endpoints.get(endpointId)
-    const lifecycle = Math.max(known?.lifecycle ?? EndpointLifecycle.Ready, told.lifecycle, this._leaves.lifecycleOf(told))
-    const newest = known && known.sequence > told.sequence ? known : told
+    const lifecycle = Math.max(known?.lifecycle ?? EndpointLifecycle.Ready, received.lifecycle, this._leaves.lifecycleOf(received))
+    const newest = known && known.sequence > received.sequence ? known : received
     const endpoint = { ...newest, lifecycle }
-    if (lifecycle === EndpointLifecycle.Gone) this._forgetGone(endpointId)
+    if (lifecycle === EndpointLifecycle.Gone) this._removeEndpoint(endpointId)
     else this._endpoints.set(endpointId, endpoint)
-    this._logLearned(known, endpoint)
+    this._logEndpoint(known, endpoint)
   }
 
   /** A newer start ends the earlier one: whatever is told of that later comes late. */
-  private _isNewestStart (told: FleetEndpoint): boolean {
-    const newest = this._newestStarts.get(told.name)
-    if (newest && told.bornAtMs < newest.bornAtMs) return false
-    if (newest && newest.endpointId !== told.endpointId) this._forgetGone(newest.endpointId)
-    this._newestStarts.delete(told.name)
-    this._newestStarts.set(told.name, told)
-    dropOldest(this._newestStarts)
+  private _isNewestIncarnation (received: FleetEndpoint): boolean {
+    const newest = this._newestIncarnations.get(received.name)
+    if (newest && received.bornAtMs < newest.bornAtMs) return false
+    if (newest && newest.endpointId !== received.endpointId) this._removeEndpoint(newest.endpointId)
+    this._newestIncarnations.delete(received.name)
+    this._newestIncarnations.set(received.name, received)
+    dropOldest(this._newestIncarnations)
     return true
   }
 
-  private _logLearned (known: FleetEndpoint | undefined, endpoint: FleetEndpoint): void {
+  private _logEndpoint (known: FleetEndpoint | undefined, endpoint: FleetEndpoint): void {
     const { endpointId, service, address, sequence, lifecycle } = endpoint
     const event = lifecycle === EndpointLifecycle.Ready ? FleetEvent.EndpointKnown : FleetEvent.EndpointLeft
-    const isNews = known?.lifecycle !== lifecycle || JSON.stringify(known.weights) !== JSON.stringify(endpoint.weights)
-    if (isNews) this._logger.event(event, { endpointId, service, address, sequence, weights: endpoint.weights.map(({ model, version }) => `${model}@${version}`) })
+    const hasChanged = known?.lifecycle !== lifecycle || JSON.stringify(known.weights) !== JSON.stringify(endpoint.weights)
+    if (hasChanged) this._logger.event(event, { endpointId, service, address, sequence, weights: endpoint.weights.map(({ model, version }) => `${model}@${version}`) })
   }
 
-  private _forgetGone (endpointId: string): void {
+  private _removeEndpoint (endpointId: string): void {
     this._endpoints.delete(endpointId)
-    this._goneIds.add(endpointId)
-    dropOldest(this._goneIds)
+    this._removedIds.add(endpointId)
+    dropOldest(this._removedIds)
   }
 
   /** Another control host may have heard of it since. */
-  private _forgetSilent (endpointId: string, sequence: number): void {
+  private _removeSilent (endpointId: string, sequence: number): void {
     const known = this._endpoints.get(endpointId)
     if (!known || known.sequence > sequence) return
     this._endpoints.delete(endpointId)
@@ -219,9 +219,9 @@
 }
 
 /** Of a host that several control hosts tell of, what is of the latest term. */
-function mergeHosts (told: Iterable<Map<string, FleetHost>>): FleetHost[] {
+function mergeHosts (hostsByControlHost: Iterable<Map<string, FleetHost>>): FleetHost[] {
   const merged = new Map<string, FleetHost>()
-  for (const hosts of told) {
+  for (const hosts of hostsByControlHost) {
     for (const host of hosts.values()) {
       const other = merged.get(host.hostId)
       if (!other || termOf(host) >= termOf(other)) merged.set(host.hostId, host)
--- a/src/fleet/knownQuarantine.ts
+++ b/src/fleet/knownQuarantine.ts
@@ -13,11 +13,11 @@
   private readonly _listeners = new Set<(notice: QuarantineNotice) => void>()
 
   /** Calls back for each notice that is news here. */
-  onNews (listener: (notice: QuarantineNotice) => void): void {
+  onUpdate (listener: (notice: QuarantineNotice) => void): void {
     this._listeners.add(listener)
   }
 
-  learn (notices: readonly QuarantineNotice[]): void {
+  merge (notices: readonly QuarantineNotice[]): void {
     for (const notice of notices) {
       const known = this._notices.peek(notice.digest)
       if (known && known.number >= notice.number) continue
--- a/src/gateway/eventCutter.ts
+++ b/src/gateway/eventCutter.ts
@@ -6,7 +6,7 @@
 const EVENT_END = Buffer.from('\n\n')
 const ID_LINE = /^id: ?(\d+)$/m
 
-export interface WholeEvents {
+export interface CompleteEvents {
   bytes: Uint8Array
   /** Id of the last event among them that has one. */
   lastId: number | undefined
@@ -14,22 +14,22 @@
   firstId: number | undefined
 }
 
-export class EventCutter {
-  private _rest: Buffer = Buffer.alloc(0)
+export class EventStreamSplitter {
+  private _partialEvent: Buffer = Buffer.alloc(0)
 
   /** Takes the next bytes; the events that are whole now, if any. */
-  take (chunk: Uint8Array): WholeEvents | undefined {
-    this._rest = this._rest.length === 0 ? Buffer.from(chunk) : Buffer.concat([this._rest, chunk])
-    const end = this._rest.lastIndexOf(EVENT_END)
+  push (chunk: Uint8Array): CompleteEvents | undefined {
+    this._partialEvent = this._partialEvent.length === 0 ? Buffer.from(chunk) : Buffer.concat([this._partialEvent, chunk])
+    const end = this._partialEvent.lastIndexOf(EVENT_END)
     if (end < 0) return undefined
-    const bytes = this._rest.subarray(0, end + EVENT_END.length)
-    this._rest = this._rest.subarray(end + EVENT_END.length)
+    const bytes = this._partialEvent.subarray(0, end + EVENT_END.length)
+    this._partialEvent = this._partialEvent.subarray(end + EVENT_END.length)
     const ids = bytes.toString().split('\n\n').flatMap(event => ID_LINE.exec(event)?.[1] ?? []).map(Number)
     return { bytes, firstId: ids[0], lastId: ids.at(-1) }
   }
 
   /** Whether the bytes taken so far end with a whole event. */
-  get isAtEnd (): boolean {
-    return this._rest.length === 0
+  get isAtEventEnd (): boolean {
+    return this._partialEvent.length === 0
   }
 }
--- a/src/gateway/failedTry.ts
+++ b/src/gateway/failedTry.ts
@@ -24,7 +24,7 @@
  * Notes the failure in what is known of the endpoint.
  * @param beganAtMs when the try began
  */
-export function noteFailedTry (endpointId: string, beganAtMs: number, outcome: FailedOutcome, { pool, view }: { pool: EndpointPool, view: FleetView }): FailedTry {
+export function recordFailedTry (endpointId: string, beganAtMs: number, outcome: FailedOutcome, { pool, view }: { pool: EndpointPool, view: FleetView }): FailedTry {
   const health = pool.health(endpointId)
   const failed = { mayHaveRun: false, wasFull: false }
   switch (outcome.kind) {
--- a/src/gateway/requestForwarder.ts
+++ b/src/gateway/requestForwarder.ts
@@ -23,11 +23,11 @@
 import { RetryBudget } from '../utils/retryBudget.js'
 import type { Scope } from '../utils/scope.js'
 import { Signal } from '../utils/signal.js'
-import { noteFailedTry, type FailedOutcome } from './failedTry.js'
+import { recordFailedTry, type FailedOutcome } from './failedTry.js'
 import { GatewayEvent } from './gatewayEvents.js'
-import { lateAfterMs, verdictOn } from './requestPolicy.js'
+import { hedgeDelayMs, waitOrRefuse } from './requestPolicy.js'
 import { chooseService } from './routeTable.js'
-import { WaitingTurns, type WaitingTurn } from './waitingTurns.js'
+import { FairWaitQueue, type QueueEntry } from './waitingTurns.js'
 
 /** Pause before endpoints that were all full are asked again. */
 const FULL_RETRY_MS = 20
@@ -45,7 +45,7 @@
   /** 0 is the most urgent; that of the account, if it has one, goes before that of the route. */
   priority?: number | undefined
   /** Told once when an endpoint has begun, or may have begun, to run it: the instant at which it was sent there. */
-  onBegan?: ((sentAtMs: number) => void) | undefined
+  onStarted?: ((sentAtMs: number) => void) | undefined
   progress: Progress
   /** A refusal is of no use to whoever asks: keep trying until the deadline. */
   isPersistent?: boolean
@@ -56,7 +56,7 @@
   | { kind: 'answered', endpointId: string, status: number, headers: string[], body: Uint8Array, receipt: string | undefined, failedAnswersCount: number }
   | { kind: 'refused', executed: Executed, reason: RefusalReason, retryAfterMs: number }
 
-export interface RequestForwarderParts {
+export interface RequestForwarderOptions {
   view: FleetView
   pool: EndpointPool
   client: EndpointClient
@@ -67,24 +67,24 @@
 }
 
 export class RequestForwarder {
-  private readonly _parts: RequestForwarderParts
+  private readonly _options: RequestForwarderOptions
   /** Second tries beside first ones add at most a tenth to the load of a service. */
   private readonly _hedgeBudgets = new Map<string, RetryBudget>()
-  private readonly _turns = new WaitingTurns()
+  private readonly _waitQueue = new FairWaitQueue()
 
-  constructor (parts: RequestForwarderParts) {
-    this._parts = parts
+  constructor (options: RequestForwarderOptions) {
+    this._options = options
   }
 
   /** @throws ScopeClosedError when the caller leaves first. */
   async forward (request: ForwardRequest): Promise<ForwardOutcome> {
     const scope = request.progress.scope.child('tries')
-    const service = chooseService(request.route, this._parts.random)
-    const run = new ForwardRun(this._parts, request, service, this._hedgeBudgetOf(service, request.progress.clock), this._turns, scope)
+    const service = chooseService(request.route, this._options.random)
+    const run = new ForwardRun(this._options, request, service, this._hedgeBudgetOf(service, request.progress.clock), this._waitQueue, scope)
     try {
       return await run.run()
     } finally {
-      run.leaveTurn()
+      run.leaveQueue()
       scope.close('forwarded')
     }
   }
@@ -96,119 +96,119 @@
   }
 }
 
-type Settled = Extract<ForwardOutcome, { kind: 'answered' }>
+type AnsweredOutcome = Extract<ForwardOutcome, { kind: 'answered' }>
 
 class ForwardRun {
-  private readonly _parts: RequestForwarderParts
+  private readonly _options: RequestForwarderOptions
   private readonly _request: ForwardRequest
   private readonly _scope: Scope
   private readonly _identity: RequestIdentity
   private readonly _service: string
   private readonly _hedgeBudget: RetryBudget
-  private readonly _turns: WaitingTurns
-  private readonly _turn: WaitingTurn
+  private readonly _waitQueue: FairWaitQueue
+  private readonly _queueEntry: QueueEntry
   private readonly _tried = new Set<string>()
-  private readonly _settled = new Signal()
+  private readonly _tryEnded = new Signal()
   private readonly _startedAtMs: number
   private _triesCount = 0
-  private _openCount = 0
+  private _openTriesCount = 0
   /** Tries that may have run. */
   private _ranCount = 0
-  private _isBegun = false
+  private _isStarted = false
   private readonly _failures: FailureAccount
-  private _answer: Settled | undefined
-  private _failure: Settled | undefined
+  private _answer: AnsweredOutcome | undefined
+  private _failure: AnsweredOutcome | undefined
 
-  constructor (parts: RequestForwarderParts, request: ForwardRequest, service: string, hedgeBudget: RetryBudget, turns: WaitingTurns, scope: Scope) {
-    this._parts = parts
+  constructor (options: RequestForwarderOptions, request: ForwardRequest, service: string, hedgeBudget: RetryBudget, waitQueue: FairWaitQueue, scope: Scope) {
+    this._options = options
     this._request = request
     this._scope = scope
-    this._identity = parts.quarantine.identify(request)
+    this._identity = options.quarantine.identify(request)
     this._service = service
     this._failures = new FailureAccount(() => this._identity.digest)
     this._hedgeBudget = hedgeBudget
     this._startedAtMs = request.progress.clock.nowMs()
-    this._turns = turns
-    this._turn = { service, priority: request.priority ?? request.route.priority }
+    this._waitQueue = waitQueue
+    this._queueEntry = { service, priority: request.priority ?? request.route.priority }
   }
 
   /** It waits no longer. */
-  leaveTurn (): void {
-    this._turns.leave(this._turn)
+  leaveQueue (): void {
+    this._waitQueue.leave(this._queueEntry)
   }
 
   async run (): Promise<ForwardOutcome> {
     const { progress } = this._request
     this._hedgeBudget.depositFirstTry()
     while (!this._answer && !progress.isOver()) {
-      if (this._openCount === 0) {
-        const ended = this._tryNext()
-        if (ended) return ended
+      if (this._openTriesCount === 0) {
+        const outcome = this._tryNext()
+        if (outcome) return outcome
       }
-      const isNews = await this._settled.wait(this._scope, { clock: progress.clock, deadlineMs: this._nextLookAtMs() })
-      if (!isNews && this._mayHedge()) this._hedge()
+      const hasTryEnded = await this._tryEnded.wait(this._scope, { clock: progress.clock, deadlineMs: this._nextCheckAtMs() })
+      if (!hasTryEnded && this._mayHedge()) this._hedge()
     }
-    return this._answer ?? this._giveUp(RefusalReason.DeadlinePassed)
+    return this._answer ?? this._refuse(RefusalReason.DeadlinePassed)
   }
 
   /** Starts a try, or ends the request when no further one is allowed or of use. */
   private _tryNext (): ForwardOutcome | undefined {
     const { route } = this._request
     const mayRunAgain = this._ranCount === 0 || (route.kind !== RouteKind.AtMostOnce && this._ranCount < route.maxAttemptsCount)
-    if (!mayRunAgain) return this._failure ?? this._giveUp(RefusalReason.EndpointFailed)
-    const standing = this._parts.quarantine.standingOf(this._identity)
-    if (standing === RequestStanding.Condemned) return this._holdBack()
-    const endpoint = this._chooseInTurn()
+    if (!mayRunAgain) return this._failure ?? this._refuse(RefusalReason.EndpointFailed)
+    const status = this._options.quarantine.standingOf(this._identity)
+    if (status === RequestStanding.Condemned) return this._refuseQuarantined()
+    const endpoint = this._chooseIfNext()
     // With all of them gone it waits for the first that is back, or for its deadline.
-    if (endpoint && (this._parts.pool.isRefusing(endpoint) || !this._parts.quarantine.mayBegin(standing, endpoint))) return undefined
+    if (endpoint && (this._options.pool.isRefusing(endpoint) || !this._options.quarantine.mayBegin(status, endpoint))) return undefined
     if (endpoint) {
       this._startTry(endpoint)
       return undefined
     }
-    this._turns.wait(this._turn)
+    this._waitQueue.enqueue(this._queueEntry)
     const { isPersistent, progress } = this._request
     if (isPersistent === true) return undefined
-    const untaken = { forecast: this._parts.pool.forecast(this._service), waitedMs: progress.clock.nowMs() - this._startedAtMs, remainingMs: progress.remainingMs() }
-    const verdict = verdictOn(untaken, this._parts.random)
-    return verdict.kind === 'refuse' ? this._giveUp(RefusalReason.NoEndpoint, verdict.retryAfterMs) : undefined
+    const undispatched = { forecast: this._options.pool.forecast(this._service), waitedMs: progress.clock.nowMs() - this._startedAtMs, remainingMs: progress.remainingMs() }
+    const decision = waitOrRefuse(undispatched, this._options.random)
+    return decision.kind === 'refuse' ? this._refuse(RefusalReason.NoEndpoint, decision.retryAfterMs) : undefined
   }
 
-  private _nextLookAtMs (): number {
+  private _nextCheckAtMs (): number {
     const { progress } = this._request
-    const { pool } = this._parts
-    const waitMs = this._openCount === 0 ? FULL_RETRY_MS : lateAfterMs(pool.sortedDurationsMs(this._service), pool.typicalMs(this._service))
+    const { pool } = this._options
+    const waitMs = this._openTriesCount === 0 ? FULL_RETRY_MS : hedgeDelayMs(pool.sortedDurationsMs(this._service), pool.typicalMs(this._service))
     return Math.min(progress.deadlineMs, progress.clock.nowMs() + waitMs)
   }
 
   private _mayHedge (): boolean {
     const { route, progress } = this._request
-    const mayRepeat = route.kind !== RouteKind.AtMostOnce && this._ranCount + this._openCount < route.maxAttemptsCount
+    const mayRepeat = route.kind !== RouteKind.AtMostOnce && this._ranCount + this._openTriesCount < route.maxAttemptsCount
     // A second endpoint would end beside the first.
-    if (this._parts.quarantine.standingOf(this._identity) !== RequestStanding.Free) return false
-    return mayRepeat && !progress.isOver() && this._openCount === 1 && this._hedgeBudget.take()
+    if (this._options.quarantine.standingOf(this._identity) !== RequestStanding.Free) return false
+    return mayRepeat && !progress.isOver() && this._openTriesCount === 1 && this._hedgeBudget.take()
   }
 
   private _hedge (): void {
     const endpoint = this._choose()
-    if (!endpoint || this._parts.pool.isRefusing(endpoint)) return
+    if (!endpoint || this._options.pool.isRefusing(endpoint)) return
     this._startTry(endpoint)
     this._countRetry(RetryReason.Hedged)
   }
 
   /** Undefined while others that wait go before it. */
-  private _chooseInTurn (): FleetEndpoint | undefined {
-    const { pool } = this._parts
-    return this._turns.mayTry(this._turn, pool.roomCount(this._service)) ? this._choose() : undefined
+  private _chooseIfNext (): FleetEndpoint | undefined {
+    const { pool } = this._options
+    return this._waitQueue.mayTry(this._queueEntry, pool.availableSlotsCount(this._service)) ? this._choose() : undefined
   }
 
   private _choose (): FleetEndpoint | undefined {
-    return this._parts.pool.choose(this._service, this._tried, this._parts.quarantine.riskyEndpointIds())
+    return this._options.pool.choose(this._service, this._tried, this._options.quarantine.riskyEndpointIds())
   }
 
   private _startTry (endpoint: FleetEndpoint): void {
     this._tried.add(endpoint.endpointId)
     this._triesCount++
-    this._openCount++
+    this._openTriesCount++
     this._logTry(endpoint)
     this._try(endpoint).catch(error => {
       if (!(error instanceof ScopeClosedError)) throw error
@@ -218,71 +218,71 @@
   private async _try (endpoint: FleetEndpoint): Promise<void> {
     const { method, path, host, headers, body, attemptId, account, progress } = this._request
     const { clock } = progress
-    const health = this._parts.pool.health(endpoint.endpointId)
+    const health = this._options.pool.health(endpoint.endpointId)
     const startedAtMs = clock.nowMs()
-    const run = this._parts.quarantine.begin(this._identity, endpoint)
+    const run = this._options.quarantine.begin(this._identity, endpoint)
     let isSettled = false
     health.began()
     health.runningCount++
     try {
       const request = { endpoint, method, path, host, headers, body, attemptId, account, deadlineMs: progress.deadlineMs }
-      const outcome = await this._parts.client.call(request, this._scope)
+      const outcome = await this._options.client.call(request, this._scope)
       isSettled = true
-      this._openCount--
+      this._openTriesCount--
       this._onOutcome(run, outcome, startedAtMs)
-      this._settled.notify()
+      this._tryEnded.notify()
     } finally {
       health.runningCount--
-      if (!isSettled) this._parts.quarantine.left(run)
-      if (!isSettled) this._noteBegun(startedAtMs)
-      if (this._scope.isClosed) health.took(clock.nowMs() - startedAtMs)
+      if (!isSettled) this._options.quarantine.left(run)
+      if (!isSettled) this._notifyStarted(startedAtMs)
+      if (this._scope.isClosed) health.recordDuration(clock.nowMs() - startedAtMs)
     }
   }
 
   private _onOutcome (run: QuarantinedRun, outcome: EndpointOutcome, startedAtMs: number): void {
     const { endpoint } = run
     const durationMs = this._request.progress.clock.nowMs() - startedAtMs
-    const health = this._parts.pool.health(endpoint.endpointId)
+    const health = this._options.pool.health(endpoint.endpointId)
     switch (outcome.kind) {
       case 'answered':
-        this._noteBegun(startedAtMs)
-        this._turns.served(this._turn)
+        this._notifyStarted(startedAtMs)
+        this._waitQueue.served(this._queueEntry)
         if (outcome.status < 500) {
-          this._parts.quarantine.answered(run)
+          this._options.quarantine.answered(run)
           health.succeeded(durationMs, outcome.load)
           this._failures.settled(endpoint.endpointId)
-          this._parts.pool.answeredAfter(this._service, durationMs)
+          this._options.pool.recordDuration(this._service, durationMs)
         } else {
-          this._parts.quarantine.answeredWithError(run)
+          this._options.quarantine.answeredWithError(run)
           // How fast it fails says nothing of how fast it works.
           health.worked()
-          health.reported(outcome.load)
+          health.recordLoad(outcome.load)
           this._failures.note(endpoint.endpointId, health, startedAtMs, outcome.status)
         }
         return this._onAnswer(endpoint, outcome)
       default:
-        this._parts.quarantine.failed(run, outcome)
+        this._options.quarantine.failed(run, outcome)
         return this._onFailed(endpoint, startedAtMs, outcome)
     }
   }
 
-  private _noteBegun (sentAtMs: number): void {
-    if (!this._isBegun) this._request.onBegan?.(sentAtMs)
-    this._isBegun = true
+  private _notifyStarted (sentAtMs: number): void {
+    if (!this._isStarted) this._request.onStarted?.(sentAtMs)
+    this._isStarted = true
   }
 
   /** Nothing says when to come back: it would be held back again. */
-  private _holdBack (): ForwardOutcome {
+  private _refuseQuarantined (): ForwardOutcome {
     const { attemptId, route } = this._request
-    this._parts.quarantine.noteHeldBack(this._identity, { attemptId, route: route.name })
-    return this._giveUp(RefusalReason.Quarantined, 0)
+    this._options.quarantine.noteHeldBack(this._identity, { attemptId, route: route.name })
+    return this._refuse(RefusalReason.Quarantined, 0)
   }
 
   private _onFailed (endpoint: FleetEndpoint, startedAtMs: number, outcome: FailedOutcome): void {
-    const { reason, detail, mayHaveRun, wasFull } = noteFailedTry(endpoint.endpointId, startedAtMs, outcome, this._parts)
+    const { reason, detail, mayHaveRun, wasFull } = recordFailedTry(endpoint.endpointId, startedAtMs, outcome, this._options)
     if (mayHaveRun) {
       this._ranCount++
-      this._noteBegun(startedAtMs)
+      this._notifyStarted(startedAtMs)
     }
     // It may be asked again when all the others were.
     if (wasFull) this._tried.delete(endpoint.endpointId)
@@ -292,7 +292,7 @@
   private _onAnswer (endpoint: FleetEndpoint, outcome: Extract<EndpointOutcome, { kind: 'answered' }>): void {
     const { status, headers, body, receipt } = outcome
     this._ranCount++
-    const answer: Settled = { kind: 'answered', endpointId: endpoint.endpointId, status, headers, body, receipt, failedAnswersCount: this._failures.failuresCount }
+    const answer: AnsweredOutcome = { kind: 'answered', endpointId: endpoint.endpointId, status, headers, body, receipt, failedAnswersCount: this._failures.failuresCount }
     if (status < 500) {
       this._answer ??= answer
       return
@@ -301,9 +301,9 @@
     this._logFailure(endpoint, RetryReason.EndpointError, `status ${status}`)
   }
 
-  private _giveUp (reason: RefusalReason, retryAfterMs = this._parts.pool.forecast(this._service)?.waitMs ?? 0): ForwardOutcome {
+  private _refuse (reason: RefusalReason, retryAfterMs = this._options.pool.forecast(this._service)?.waitMs ?? 0): ForwardOutcome {
     if (this._failure) return this._failure
-    const mayHaveRun = this._ranCount + this._openCount > 0
+    const mayHaveRun = this._ranCount + this._openTriesCount > 0
     const executed = mayHaveRun ? Executed.Unknown : Executed.No
     return { kind: 'refused', executed, reason, retryAfterMs }
   }
@@ -311,15 +311,15 @@
   /** What the choice of the endpoint went by, and how old that was. */
   private _logTry ({ endpointId, service, sequence }: FleetEndpoint): void {
     const { attemptId, route, progress } = this._request
-    const health = this._parts.pool.health(endpointId)
-    this._parts.logger.event(GatewayEvent.TryStarted, {
+    const health = this._options.pool.health(endpointId)
+    this._options.logger.event(GatewayEvent.TryStarted, {
       attemptId,
       route: route.name,
       service,
       endpointId,
       announcementSequence: sequence,
       tryNumber: this._triesCount,
-      isBesideAnother: this._openCount > 1,
+      isBesideAnother: this._openTriesCount > 1,
       busyCount: health.busyCount,
       loadAgeMs: finiteOrNull(health.loadAgeMs),
       meanMs: finiteOrNull(health.meanMs),
@@ -329,13 +329,13 @@
   }
 
   private _countRetry (reason: RetryReason): void {
-    this._parts.metrics.count(MetricName.RequestRetried, { reason, pool: this._service })
+    this._options.metrics.count(MetricName.RequestRetried, { reason, pool: this._service })
   }
 
   private _logFailure (endpoint: FleetEndpoint, reason: RetryReason, detail: string): void {
     const { attemptId, route } = this._request
     this._countRetry(reason)
-    this._parts.logger.event(GatewayEvent.TryFailed, { attemptId, route: route.name, endpointId: endpoint.endpointId, reason, detail })
+    this._options.logger.event(GatewayEvent.TryFailed, { attemptId, route: route.name, endpointId: endpoint.endpointId, reason, detail })
   }
 }
 
--- a/src/gateway/requestPolicy.ts
+++ b/src/gateway/requestPolicy.ts
@@ -15,48 +15,48 @@
   typicalMs: number
 }
 
-export interface UntakenRequest {
+export interface UndispatchedRequest {
   /** Undefined when no endpoint of the service is known. */
   forecast: ServiceForecast | undefined
   waitedMs: number
   remainingMs: number
 }
 
-export type Verdict =
+export type WaitDecision =
   | { kind: 'wait' }
   | { kind: 'refuse', retryAfterMs: number }
 
 /** A forecast that was wrong by more than this is not trusted any longer. */
-const WRONG_FORECAST_FACTOR = 2
+const MAX_FORECAST_ERROR_FACTOR = 2
 /** Endpoints that are unknown here are heard of within this time: a host asks the control hosts twice a second. */
-const HEARD_OF_WITHIN_MS = 500
+const DISCOVERY_TIME_MS = 500
 /** Callers do not come back sooner: a free slot is taken by those that wait already. */
 const MIN_RETRY_AFTER_MS = 20
 
 /** Whether to go on looking for an endpoint. What cannot be served in time is refused at once. */
-export function verdictOn ({ forecast, waitedMs, remainingMs }: UntakenRequest, random: RandomSource): Verdict {
-  if (!forecast) return { kind: 'refuse', retryAfterMs: HEARD_OF_WITHIN_MS }
+export function waitOrRefuse ({ forecast, waitedMs, remainingMs }: UndispatchedRequest, random: RandomSource): WaitDecision {
+  if (!forecast) return { kind: 'refuse', retryAfterMs: DISCOVERY_TIME_MS }
   const { waitMs, typicalMs } = forecast
   const isTooLate = waitMs + typicalMs > remainingMs
-  const isForecastWrong = waitedMs > WRONG_FORECAST_FACTOR * Math.max(waitMs, MIN_RETRY_AFTER_MS)
+  const isForecastWrong = waitedMs > MAX_FORECAST_ERROR_FACTOR * Math.max(waitMs, MIN_RETRY_AFTER_MS)
   if (!isTooLate && !isForecastWrong) return { kind: 'wait' }
-  return { kind: 'refuse', retryAfterMs: spreadRetryMs(Math.max(waitMs, waitedMs), random) }
+  return { kind: 'refuse', retryAfterMs: jitteredRetryMs(Math.max(waitMs, waitedMs), random) }
 }
 
 /** Not before there should be room, and spread over as long again, so that callers do not return at one moment. */
-function spreadRetryMs (waitMs: number, random: RandomSource): number {
+function jitteredRetryMs (waitMs: number, random: RandomSource): number {
   return Math.max(MIN_RETRY_AFTER_MS, waitMs) * (1 + random.real())
 }
 
 /** Durations that are needed before a quantile of them says anything. */
 const MIN_DURATIONS_COUNT = 20
 /** A second try starts when this share of requests would have been answered. */
-const LATE_QUANTILE = 0.95
+const HEDGE_QUANTILE = 0.95
 /** So many means is the same quantile of durations that decay exponentially. */
-const LATE_MEANS_COUNT = 3
+const HEDGE_MEAN_MULTIPLE = 3
 
 /** Time after which a try is late by what its service usually takes. */
-export function lateAfterMs (sortedDurationsMs: readonly number[], typicalMs: number): number {
-  if (sortedDurationsMs.length < MIN_DURATIONS_COUNT) return LATE_MEANS_COUNT * typicalMs
-  return sortedDurationsMs[Math.floor(LATE_QUANTILE * sortedDurationsMs.length)] ?? LATE_MEANS_COUNT * typicalMs
+export function hedgeDelayMs (sortedDurationsMs: readonly number[], typicalMs: number): number {
+  if (sortedDurationsMs.length < MIN_DURATIONS_COUNT) return HEDGE_MEAN_MULTIPLE * typicalMs
+  return sortedDurationsMs[Math.floor(HEDGE_QUANTILE * sortedDurationsMs.length)] ?? HEDGE_MEAN_MULTIPLE * typicalMs
 }
--- a/src/gateway/routeTable.ts
+++ b/src/gateway/routeTable.ts
@@ -39,10 +39,10 @@
 /** One of a route's services, by weight. */
 export function chooseService (route: RoutingRoute, random: RandomSource): string {
   const totalWeight = route.services.reduce((sum, { weight }) => sum + weight, 0)
-  let left = random.real() * totalWeight
+  let remainingWeight = random.real() * totalWeight
   for (const { service, weight } of route.services) {
-    left -= weight
-    if (left < 0 && weight > 0) return service
+    remainingWeight -= weight
+    if (remainingWeight < 0 && weight > 0) return service
   }
   return route.services.findLast(({ weight }) => weight > 0)?.service ?? ''
 }
--- a/src/gateway/streamForwarder.ts
+++ b/src/gateway/streamForwarder.ts
@@ -17,11 +17,11 @@
 import { MetricName } from '../utils/metricNames.js'
 import type { Metrics } from '../utils/metrics.js'
 import type { RandomSource } from '../utils/randomSource.js'
-import { EventCutter } from './eventCutter.js'
-import { noteFailedTry, type FailedOutcome } from './failedTry.js'
+import { EventStreamSplitter } from './eventCutter.js'
+import { recordFailedTry, type FailedOutcome } from './failedTry.js'
 import { GatewayEvent } from './gatewayEvents.js'
 import type { ForwardOutcome, ForwardRequest } from './requestForwarder.js'
-import { verdictOn, type Verdict } from './requestPolicy.js'
+import { waitOrRefuse, type WaitDecision } from './requestPolicy.js'
 import { chooseService } from './routeTable.js'
 
 /** Pause before endpoints that were all full are asked again. */
@@ -47,7 +47,7 @@
   /** Nothing was passed on yet. */
   | ForwardOutcome
 
-export interface StreamForwarderParts {
+export interface StreamForwarderOptions {
   view: FleetView
   pool: EndpointPool
   client: EndpointClient
@@ -58,20 +58,20 @@
 }
 
 export class StreamForwarder {
-  private readonly _parts: StreamForwarderParts
+  private readonly _options: StreamForwarderOptions
 
-  constructor (parts: StreamForwarderParts) {
-    this._parts = parts
+  constructor (options: StreamForwarderOptions) {
+    this._options = options
   }
 
   /** @throws ScopeClosedError when the caller leaves first. */
   async forward (request: StreamRequest, sink: StreamSink): Promise<StreamForwardOutcome> {
-    return await new StreamRun(this._parts, request, sink).run()
+    return await new StreamRun(this._options, request, sink).run()
   }
 }
 
 class StreamRun {
-  private readonly _parts: StreamForwarderParts
+  private readonly _options: StreamForwarderOptions
   private readonly _request: StreamRequest
   private readonly _sink: StreamSink
   private readonly _identity: RequestIdentity
@@ -81,84 +81,84 @@
   private readonly _tried = new Set<string>()
   private _lastEventId: number | undefined
   private _isHeadSent = false
-  private _isBegun = false
-  private _cutter = new EventCutter()
+  private _isStarted = false
+  private _splitter = new EventStreamSplitter()
   /** Tries that may have run. */
   private _ranCount = 0
 
-  constructor (parts: StreamForwarderParts, request: StreamRequest, sink: StreamSink) {
-    this._parts = parts
+  constructor (options: StreamForwarderOptions, request: StreamRequest, sink: StreamSink) {
+    this._options = options
     this._request = request
     this._sink = sink
-    this._identity = parts.quarantine.identify(request)
+    this._identity = options.quarantine.identify(request)
     this._failures = new FailureAccount(() => this._identity.digest)
-    this._service = chooseService(request.route, parts.random)
+    this._service = chooseService(request.route, options.random)
     this._startedAtMs = request.progress.clock.nowMs()
     this._lastEventId = request.afterEventId
   }
 
   async run (): Promise<StreamForwardOutcome> {
     const { progress } = this._request
-    const { quarantine } = this._parts
+    const { quarantine } = this._options
     while (!progress.isOver()) {
-      const standing = quarantine.standingOf(this._identity)
-      if (standing === RequestStanding.Condemned) return this._holdBack()
-      const endpoint = this._parts.pool.choose(this._service, this._tried, quarantine.riskyEndpointIds())
-      const hasToWait = endpoint !== undefined && (this._parts.pool.isRefusing(endpoint) || !quarantine.mayBegin(standing, endpoint))
+      const status = quarantine.standingOf(this._identity)
+      if (status === RequestStanding.Condemned) return this._refuseQuarantined()
+      const endpoint = this._options.pool.choose(this._service, this._tried, quarantine.riskyEndpointIds())
+      const hasToWait = endpoint !== undefined && (this._options.pool.isRefusing(endpoint) || !quarantine.mayBegin(status, endpoint))
       if (hasToWait) {
-        await this._pause()
+        await this._waitBeforeRetry()
       } else if (endpoint) {
-        const settled = await this._try(endpoint)
-        if (settled) return settled
+        const outcome = await this._try(endpoint)
+        if (outcome) return outcome
       } else {
-        const verdict = this._verdict()
-        if (verdict.kind === 'refuse') return this._giveUp(RefusalReason.NoEndpoint, verdict.retryAfterMs)
-        await this._pause()
+        const decision = this._waitOrRefuse()
+        if (decision.kind === 'refuse') return this._refuse(RefusalReason.NoEndpoint, decision.retryAfterMs)
+        await this._waitBeforeRetry()
       }
     }
-    return this._giveUp(RefusalReason.DeadlinePassed)
+    return this._refuse(RefusalReason.DeadlinePassed)
   }
 
-  private async _pause (): Promise<void> {
+  private async _waitBeforeRetry (): Promise<void> {
     const { clock, scope, deadlineMs } = this._request.progress
     await sleepUntil(clock, scope, Math.min(deadlineMs, clock.nowMs() + FULL_RETRY_MS))
   }
 
-  private _holdBack (): StreamForwardOutcome {
+  private _refuseQuarantined (): StreamForwardOutcome {
     const { attemptId, route } = this._request
-    this._parts.quarantine.noteHeldBack(this._identity, { attemptId, route: route.name })
-    return this._giveUp(RefusalReason.Quarantined, 0)
+    this._options.quarantine.noteHeldBack(this._identity, { attemptId, route: route.name })
+    return this._refuse(RefusalReason.Quarantined, 0)
   }
 
   /** A caller that has part of its answer waits for the rest. */
-  private _verdict (): Verdict {
+  private _waitOrRefuse (): WaitDecision {
     const { progress } = this._request
-    const { pool, random } = this._parts
+    const { pool, random } = this._options
     if (this._isHeadSent) return { kind: 'wait' }
-    return verdictOn({ forecast: pool.forecast(this._service), waitedMs: progress.clock.nowMs() - this._startedAtMs, remainingMs: progress.remainingMs() }, random)
+    return waitOrRefuse({ forecast: pool.forecast(this._service), waitedMs: progress.clock.nowMs() - this._startedAtMs, remainingMs: progress.remainingMs() }, random)
   }
 
   /** A stream has begun to run with the first that comes of it. */
-  private _noteBegun (): void {
-    if (!this._isBegun) this._request.onBegan?.(this._request.progress.clock.nowMs())
-    this._isBegun = true
+  private _notifyStarted (): void {
+    if (!this._isStarted) this._request.onStarted?.(this._request.progress.clock.nowMs())
+    this._isStarted = true
   }
 
   /** One endpoint; undefined when another one may be tried. */
   private async _try (endpoint: FleetEndpoint): Promise<StreamForwardOutcome | undefined> {
     const { progress } = this._request
-    const { pool } = this._parts
+    const { pool } = this._options
     this._tried.add(endpoint.endpointId)
     const health = pool.health(endpoint.endpointId)
     const scope = progress.scope.child(`stream from ${endpoint.endpointId}`)
     const cancelTimer = progress.clock.callAt(progress.deadlineMs, () => scope.close('time is up'))
-    const run = this._parts.quarantine.begin(this._identity, endpoint)
+    const run = this._options.quarantine.begin(this._identity, endpoint)
     let isSettled = false
     const startedAtMs = progress.clock.nowMs()
     health.began()
     health.runningCount++
     try {
-      const outcome = await this._parts.client.stream({ ...this._request, endpoint, deadlineMs: progress.deadlineMs, afterEventId: this._lastEventId }, scope, {
+      const outcome = await this._options.client.stream({ ...this._request, endpoint, deadlineMs: progress.deadlineMs, afterEventId: this._lastEventId }, scope, {
         onHead: head => {
           health.worked()
           this._onHead(head)
@@ -166,7 +166,7 @@
         onData: chunk => this._onData(chunk)
       })
       isSettled = true
-      return this._onOutcome(run, this._cutter.isAtEnd || outcome.kind !== 'ended' ? outcome : { kind: 'broken', reason: 'ended within an event' }, startedAtMs)
+      return this._onOutcome(run, this._splitter.isAtEventEnd || outcome.kind !== 'ended' ? outcome : { kind: 'broken', reason: 'ended within an event' }, startedAtMs)
     } catch (error) {
       if (!(error instanceof ScopeClosedError) || progress.scope.isClosed) throw error
       this._ranCount++
@@ -174,14 +174,14 @@
     } finally {
       cancelTimer()
       health.runningCount--
-      if (!isSettled) this._parts.quarantine.left(run)
+      if (!isSettled) this._options.quarantine.left(run)
       scope.close('try over')
     }
   }
 
   /** The answer keeps the head of its first endpoint. */
   private _onHead (head: StreamHead): void {
-    this._cutter = new EventCutter()
+    this._splitter = new EventStreamSplitter()
     if (this._isHeadSent) return
     this._isHeadSent = true
     this._sink.head(head)
@@ -189,32 +189,32 @@
 
   /** Passes whole events on; a route that cannot be resumed gets every byte at once. */
   private async _onData (chunk: Uint8Array): Promise<string | undefined> {
-    this._noteBegun()
+    this._notifyStarted()
     if (!this._request.route.isResumable) {
       await this._sink.write(chunk)
       return undefined
     }
-    const whole = this._cutter.take(chunk)
-    if (!whole) return undefined
+    const complete = this._splitter.push(chunk)
+    if (!complete) return undefined
     const nextId = (this._lastEventId ?? 0) + 1
-    const isMisplaced = whole.firstId !== undefined && this._lastEventId !== undefined && whole.firstId !== nextId
-    if (isMisplaced) return `event ${whole.firstId} where ${nextId} is next`
-    this._lastEventId = whole.lastId ?? this._lastEventId
-    await this._sink.write(whole.bytes)
+    const isOutOfSequence = complete.firstId !== undefined && this._lastEventId !== undefined && complete.firstId !== nextId
+    if (isOutOfSequence) return `event ${complete.firstId} where ${nextId} is next`
+    this._lastEventId = complete.lastId ?? this._lastEventId
+    await this._sink.write(complete.bytes)
     return undefined
   }
 
   private _onOutcome (run: QuarantinedRun, outcome: StreamOutcome, startedAtMs: number): StreamForwardOutcome | undefined {
-    const { quarantine } = this._parts
+    const { quarantine } = this._options
     const { endpoint } = run
     switch (outcome.kind) {
       case 'ended':
-        this._parts.pool.health(endpoint.endpointId).accepted()
+        this._options.pool.health(endpoint.endpointId).accepted()
         this._failures.settled(endpoint.endpointId)
         quarantine.answered(run)
         return { kind: 'ended', endpointId: endpoint.endpointId }
       case 'answered':
-        this._noteAnswer(run, outcome.status, startedAtMs)
+        this._recordAnswer(run, outcome.status, startedAtMs)
         this._ranCount++
         if (this._isHeadSent || (outcome.status >= 500 && this._mayResume())) return this._onBroken(endpoint, `status ${outcome.status}`)
         return { ...outcome, endpointId: endpoint.endpointId, failedAnswersCount: 0 }
@@ -224,8 +224,8 @@
     }
   }
 
-  private _noteAnswer (run: QuarantinedRun, status: number, startedAtMs: number): void {
-    const { quarantine, pool } = this._parts
+  private _recordAnswer (run: QuarantinedRun, status: number, startedAtMs: number): void {
+    const { quarantine, pool } = this._options
     const { endpointId } = run.endpoint
     const health = pool.health(endpointId)
     health.worked()
@@ -240,7 +240,7 @@
   }
 
   private _onFailed (endpoint: FleetEndpoint, startedAtMs: number, outcome: FailedOutcome): StreamForwardOutcome | undefined {
-    const { reason, detail, mayHaveRun, wasFull } = noteFailedTry(endpoint.endpointId, startedAtMs, outcome, this._parts)
+    const { reason, detail, mayHaveRun, wasFull } = recordFailedTry(endpoint.endpointId, startedAtMs, outcome, this._options)
     if (mayHaveRun) {
       this._ranCount++
       return this._onBroken(endpoint, detail)
@@ -255,7 +255,7 @@
     if (this._mayResume()) return this._logFailure(endpoint, RetryReason.StreamResumed, reason)
     if (this._isHeadSent) return { kind: 'brokenOff', reason }
     this._logFailure(endpoint, RetryReason.ConnectionLost, reason)
-    return this._giveUp(progress.isOver() ? RefusalReason.DeadlinePassed : RefusalReason.EndpointFailed)
+    return this._refuse(progress.isOver() ? RefusalReason.DeadlinePassed : RefusalReason.EndpointFailed)
   }
 
   private _mayResume (): boolean {
@@ -263,7 +263,7 @@
     return route.isResumable && this._ranCount < route.maxAttemptsCount && !progress.isOver()
   }
 
-  private _giveUp (reason: RefusalReason, retryAfterMs = this._parts.pool.forecast(this._service)?.waitMs ?? 0): StreamForwardOutcome {
+  private _refuse (reason: RefusalReason, retryAfterMs = this._options.pool.forecast(this._service)?.waitMs ?? 0): StreamForwardOutcome {
     if (this._isHeadSent) return { kind: 'brokenOff', reason }
     const executed = this._ranCount > 0 ? Executed.Unknown : Executed.No
     return { kind: 'refused', executed, reason, retryAfterMs }
@@ -271,9 +271,9 @@
 
   private _logFailure (endpoint: FleetEndpoint, reason: RetryReason, detail: string): undefined {
     const { attemptId, route } = this._request
-    this._parts.metrics.count(MetricName.RequestRetried, { reason, pool: endpoint.service })
+    this._options.metrics.count(MetricName.RequestRetried, { reason, pool: endpoint.service })
     const fields = { attemptId, route: route.name, endpointId: endpoint.endpointId, reason, detail, lastEventId: this._lastEventId }
-    this._parts.logger.event(GatewayEvent.TryFailed, fields)
+    this._options.logger.event(GatewayEvent.TryFailed, fields)
     return undefined
   }
 }
--- a/src/quarantine/endpointRuns.ts
+++ b/src/quarantine/endpointRuns.ts
@@ -18,21 +18,21 @@
  * closes its connections and its listening socket within milliseconds, in any
  * order; one that is busy ending is found by the second look.
  */
-const LOOKS_AFTER_MS = [15, 200]
-const LOOK_TIMEOUT_MS = 500
+const CHECK_DELAYS_MS = [15, 200]
+const CHECK_TIMEOUT_MS = 500
 /** A lost run is remembered so long for evidence that comes by itself: endpoints are back after some seconds. */
-const LOST_KEPT_MS = 3_000
+const LOST_RUN_RETENTION_MS = 3_000
 /** A request that its caller gave up may have done its harm already: ends were seen 50 to 120 ms after a run began. */
-const LEFT_KEPT_MS = 300
+const ABANDONED_RUN_RETENTION_MS = 300
 /** Ends of late; a run that is found lost afterwards belongs to one of them. */
-const MAX_ENDED_COUNT = 256
+const MAX_TERMINATED_IDS_COUNT = 256
 
 enum RunState {
   Open,
   /** Its connection was lost. */
   Lost,
   /** This host gave it up. */
-  Left
+  Abandoned
 }
 
 /** A request at an endpoint. */
@@ -44,30 +44,30 @@
 interface TrackedRun extends EndpointRun {
   state: RunState
   /** Starts that had the address when the connection was lost, besides its own. */
-  otherIds: string[]
+  otherIdsAtLoss: string[]
 }
 
-export interface EndpointRunsParts {
+export interface EndpointRunsOptions {
   view: FleetView
   clock: Clock
   client: Pick<EndpointClient, 'isListening'>
   supervisor: Supervisor
   /** Told once of each end, and again of runs that are found lost later. */
-  onEnded: (endpoint: FleetEndpoint, identities: RequestIdentity[]) => void
+  onTerminated: (endpoint: FleetEndpoint, identities: RequestIdentity[]) => void
 }
 
 export class EndpointRuns {
-  private readonly _parts: EndpointRunsParts
+  private readonly _options: EndpointRunsOptions
   /** By the endpoint's id. */
   private readonly _runs = new Map<string, Set<TrackedRun>>()
-  private readonly _endedIds = new LRUCache<string, true>({ max: MAX_ENDED_COUNT })
-  private readonly _examined = new Set<string>()
+  private readonly _terminatedIds = new LRUCache<string, true>({ max: MAX_TERMINATED_IDS_COUNT })
+  private readonly _checkedIds = new Set<string>()
   /** Runs that are lost and not accounted for. */
   private _lostCount = 0
 
-  constructor (parts: EndpointRunsParts) {
-    this._parts = parts
-    parts.view.onChange(() => this._lookForOthers())
+  constructor (options: EndpointRunsOptions) {
+    this._options = options
+    options.view.onChange(() => this._findReplacements())
   }
 
   /** Runs that are remembered, open or closed. */
@@ -75,8 +75,8 @@
     return [...this._runs.values()].reduce((sum, runs) => sum + runs.size, 0)
   }
 
-  begin (endpoint: FleetEndpoint, identity: RequestIdentity): EndpointRun {
-    const run: TrackedRun = { endpoint, identity, state: RunState.Open, otherIds: [] }
+  start (endpoint: FleetEndpoint, identity: RequestIdentity): EndpointRun {
+    const run: TrackedRun = { endpoint, identity, state: RunState.Open, otherIdsAtLoss: [] }
     const runs = this._runs.get(endpoint.endpointId) ?? new Set()
     runs.add(run)
     this._runs.set(endpoint.endpointId, runs)
@@ -89,33 +89,33 @@
   }
 
   /** This host gave it up; it may run on. */
-  left (run: EndpointRun): void {
-    this._close(run as TrackedRun, RunState.Left)
+  abandoned (run: EndpointRun): void {
+    this._close(run as TrackedRun, RunState.Abandoned)
   }
 
   /** Its connection was lost before an answer. */
-  lost (run: EndpointRun): void {
+  connectionLost (run: EndpointRun): void {
     const { endpoint } = run
     this._close(run as TrackedRun, RunState.Lost)
-    if (this._endedIds.has(endpoint.endpointId)) this._ended(endpoint)
-    else this._examine(endpoint)
+    if (this._terminatedIds.has(endpoint.endpointId)) this._endpointTerminated(endpoint)
+    else this._startCheck(endpoint)
   }
 
   /** A connection to the endpoint was refused, or another has its address. */
-  isGone (endpoint: FleetEndpoint): void {
-    if (this._closedRuns(endpoint.endpointId).length > 0) this._ended(endpoint)
+  endpointUnreachable (endpoint: FleetEndpoint): void {
+    if (this._closedRuns(endpoint.endpointId).length > 0) this._endpointTerminated(endpoint)
   }
 
   private _close (run: TrackedRun, state: RunState): void {
     if (run.state !== RunState.Open) return
-    const { clock } = this._parts
+    const { clock } = this._options
     run.state = state
     if (state === RunState.Lost) {
       this._lostCount++
-      run.otherIds = this._othersAt(run.endpoint)
+      run.otherIdsAtLoss = this._otherIdsAt(run.endpoint)
     }
-    const keptMs = state === RunState.Lost ? LOST_KEPT_MS : LEFT_KEPT_MS
-    clock.callAt(clock.nowMs() + keptMs, () => this._remove(run))
+    const retentionMs = state === RunState.Lost ? LOST_RUN_RETENTION_MS : ABANDONED_RUN_RETENTION_MS
+    clock.callAt(clock.nowMs() + retentionMs, () => this._remove(run))
   }
 
   private _remove (run: TrackedRun): void {
@@ -131,53 +131,53 @@
     return [...this._runs.get(endpointId) ?? []].filter(({ state }) => state !== RunState.Open)
   }
 
-  private _ended (endpoint: FleetEndpoint): void {
-    const { view, onEnded } = this._parts
+  private _endpointTerminated (endpoint: FleetEndpoint): void {
+    const { view, onTerminated } = this._options
     const runs = this._closedRuns(endpoint.endpointId)
     for (const run of runs) this._remove(run)
     // It may close what it had not finished.
     if (view.isLeaving(endpoint)) return
-    this._endedIds.set(endpoint.endpointId, true)
-    if (runs.length > 0) onEnded(endpoint, runs.map(({ identity }) => identity))
+    this._terminatedIds.set(endpoint.endpointId, true)
+    if (runs.length > 0) onTerminated(endpoint, runs.map(({ identity }) => identity))
   }
 
-  private _examine (endpoint: FleetEndpoint): void {
+  private _startCheck (endpoint: FleetEndpoint): void {
     const { endpointId } = endpoint
-    if (this._examined.has(endpointId)) return
-    this._examined.add(endpointId)
-    this._parts.supervisor.spawn(`look at ${endpointId}`, async scope => {
+    if (this._checkedIds.has(endpointId)) return
+    this._checkedIds.add(endpointId)
+    this._options.supervisor.spawn(`look at ${endpointId}`, async scope => {
       try {
-        await this._look(endpoint, scope)
+        await this._check(endpoint, scope)
       } finally {
-        this._examined.delete(endpointId)
+        this._checkedIds.delete(endpointId)
       }
     })
   }
 
-  private async _look (endpoint: FleetEndpoint, scope: Scope): Promise<void> {
-    const { clock, client } = this._parts
+  private async _check (endpoint: FleetEndpoint, scope: Scope): Promise<void> {
+    const { clock, client } = this._options
     const lostAtMs = clock.nowMs()
-    for (const afterMs of LOOKS_AFTER_MS) {
-      await sleepUntil(clock, scope, lostAtMs + afterMs)
+    for (const delayMs of CHECK_DELAYS_MS) {
+      await sleepUntil(clock, scope, lostAtMs + delayMs)
       if (this._closedRuns(endpoint.endpointId).length === 0) return
-      const listening = await client.isListening(endpoint, clock.nowMs() + LOOK_TIMEOUT_MS, scope)
-      if (listening === Listening.No) return this._ended(endpoint)
+      const listening = await client.isListening(endpoint, clock.nowMs() + CHECK_TIMEOUT_MS, scope)
+      if (listening === Listening.No) return this._endpointTerminated(endpoint)
     }
   }
 
   /** Another start may have come to an address where runs were lost. */
-  private _lookForOthers (): void {
+  private _findReplacements (): void {
     if (this._lostCount === 0) return
     for (const runs of [...this._runs.values()]) {
       const lost = [...runs].find(({ state }) => state === RunState.Lost)
       if (!lost) continue
-      const isReplaced = this._othersAt(lost.endpoint).some(endpointId => !lost.otherIds.includes(endpointId))
-      if (isReplaced) this._ended(lost.endpoint)
+      const isReplaced = this._otherIdsAt(lost.endpoint).some(endpointId => !lost.otherIdsAtLoss.includes(endpointId))
+      if (isReplaced) this._endpointTerminated(lost.endpoint)
     }
   }
 
-  private _othersAt ({ address, endpointId }: FleetEndpoint): string[] {
-    const others = this._parts.view.ready().filter(other => other.address === address && other.endpointId !== endpointId && other.lifecycle === EndpointLifecycle.Ready)
+  private _otherIdsAt ({ address, endpointId }: FleetEndpoint): string[] {
+    const others = this._options.view.ready().filter(other => other.address === address && other.endpointId !== endpointId && other.lifecycle === EndpointLifecycle.Ready)
     return others.map(other => other.endpointId)
   }
 }
--- a/src/quarantine/requestIdentity.ts
+++ b/src/quarantine/requestIdentity.ts
@@ -5,15 +5,15 @@
 import { digestOf, type RepeatedParts } from '../protocol/quarantine.js'
 
 export class RequestIdentity {
-  private readonly _parts: RepeatedParts
+  private readonly _identifyingParts: RepeatedParts
   private _digest: string | undefined
 
   constructor ({ host, method, path, body }: RepeatedParts) {
-    this._parts = { host, method, path, body }
+    this._identifyingParts = { host, method, path, body }
   }
 
   get digest (): string {
-    this._digest ??= digestOf(this._parts)
+    this._digest ??= digestOf(this._identifyingParts)
     return this._digest
   }
 }
--- a/src/quarantine/requestQuarantine.ts
+++ b/src/quarantine/requestQuarantine.ts
@@ -23,7 +23,7 @@
 import { EndpointRuns, type EndpointRun } from './endpointRuns.js'
 import { QuarantineEvent } from './quarantineEvents.js'
 import { RequestIdentity } from './requestIdentity.js'
-import { SuspectReports, type SuspectReportsParts } from './suspectReports.js'
+import { SuspectReports, type SuspectReportsOptions } from './suspectReports.js'
 
 /** Ends that this host saw and no control host has told of yet. */
 const MAX_OWN_SUSPECTS_COUNT = 1_024
@@ -33,9 +33,9 @@
  * one that turns deadly would be excused for as long.
  */
 const MAX_ANSWERED_COUNT = 1_024
-const ANSWERED_KEPT_MS = 2_000
+const ANSWER_RETENTION_MS = 2_000
 /** With so many ends a request runs at an endpoint only while no other of its kind does, from this host. */
-const PROBATION_ENDS_COUNT = 2
+const PROBATION_TERMINATIONS_COUNT = 2
 
 export enum RequestStanding {
   Free = 'free',
@@ -47,14 +47,14 @@
   Condemned = 'condemned'
 }
 
-export interface RequestQuarantineParts {
+export interface RequestQuarantineOptions {
   view: FleetView
   clock: Clock
   client: Pick<EndpointClient, 'isListening'>
   supervisor: Supervisor
   logger: Logger
   metrics: Metrics
-  submit: SuspectReportsParts['submit']
+  submit: SuspectReportsOptions['submit']
 }
 
 /** What ends a run without an answer. */
@@ -62,34 +62,34 @@
 
 /** A request while it runs at an endpoint. */
 export interface QuarantinedRun extends EndpointRun {
-  readonly standing: RequestStanding
+  readonly status: RequestStanding
 }
 
 export class RequestQuarantine {
-  private readonly _parts: RequestQuarantineParts
+  private readonly _options: RequestQuarantineOptions
   private readonly _runs: EndpointRuns
   private readonly _reports: SuspectReports
   /** By digest, the endpoints whose ends this host saw. */
-  private readonly _ownEnds = new LRUCache<string, Set<string>>({ max: MAX_OWN_SUSPECTS_COUNT })
+  private readonly _ownTerminations = new LRUCache<string, Set<string>>({ max: MAX_OWN_SUSPECTS_COUNT })
   /** By digest, when an endpoint last answered it. */
   private readonly _answeredAtMs = new LRUCache<string, number>({ max: MAX_ANSWERED_COUNT })
   /** Suspects that run now, by endpoint. */
   private readonly _riskyCounts = new Map<string, number>()
-  private readonly _heldBackNews: RepeatedNews
+  private readonly _withheldLogFilter: RepeatedNews
   /** Requests on probation that run now, by endpoint. */
-  private readonly _onProbation = new Map<string, QuarantinedRun>()
+  private readonly _probationRuns = new Map<string, QuarantinedRun>()
 
-  constructor (parts: RequestQuarantineParts) {
-    this._parts = parts
-    const { view, clock, client, supervisor, logger, submit } = parts
-    this._heldBackNews = new RepeatedNews(clock)
-    this._runs = new EndpointRuns({ view, clock, client, supervisor, onEnded: (endpoint, identities) => this._onEnded(endpoint, identities) })
+  constructor (options: RequestQuarantineOptions) {
+    this._options = options
+    const { view, clock, client, supervisor, logger, submit } = options
+    this._withheldLogFilter = new RepeatedNews(clock)
+    this._runs = new EndpointRuns({ view, clock, client, supervisor, onTerminated: (endpoint, identities) => this._onTerminated(endpoint, identities) })
     this._reports = new SuspectReports({ clock, logger, submit })
-    view.quarantine.onNews(notice => this._onNotice(notice))
+    view.quarantine.onUpdate(notice => this._onNotice(notice))
   }
 
   start (): void {
-    this._parts.supervisor.spawn('reports of ended endpoints', scope => this._reports.run(scope))
+    this._options.supervisor.spawn('reports of ended endpoints', scope => this._reports.run(scope))
   }
 
   identify (request: RepeatedParts): RequestIdentity {
@@ -97,16 +97,16 @@
   }
 
   standingOf (identity: RequestIdentity): RequestStanding {
-    if (this._parts.view.quarantine.isEmpty && this._ownEnds.size === 0) return RequestStanding.Free
-    const endsCount = this._endsCount(identity.digest)
-    if (endsCount >= CONDEMNING_ENDS_COUNT) return RequestStanding.Condemned
-    if (endsCount >= PROBATION_ENDS_COUNT) return RequestStanding.OnProbation
-    return endsCount > 0 ? RequestStanding.Suspected : RequestStanding.Free
+    if (this._options.view.quarantine.isEmpty && this._ownTerminations.size === 0) return RequestStanding.Free
+    const terminationsCount = this._terminationsCount(identity.digest)
+    if (terminationsCount >= CONDEMNING_ENDS_COUNT) return RequestStanding.Condemned
+    if (terminationsCount >= PROBATION_TERMINATIONS_COUNT) return RequestStanding.OnProbation
+    return terminationsCount > 0 ? RequestStanding.Suspected : RequestStanding.Free
   }
 
   /** False while another request on probation runs there from this host: the next end is to tell which it was. */
-  mayBegin (standing: RequestStanding, { endpointId }: FleetEndpoint): boolean {
-    return standing !== RequestStanding.OnProbation || !this._onProbation.has(endpointId)
+  mayBegin (status: RequestStanding, { endpointId }: FleetEndpoint): boolean {
+    return status !== RequestStanding.OnProbation || !this._probationRuns.has(endpointId)
   }
 
   /** Runs that are remembered. */
@@ -120,115 +120,115 @@
   }
 
   begin (identity: RequestIdentity, endpoint: FleetEndpoint): QuarantinedRun {
-    const standing = this.standingOf(identity)
-    if (standing !== RequestStanding.Free) this._countRisk(endpoint.endpointId, 1)
-    const run = Object.assign(this._runs.begin(endpoint, identity), { standing })
-    if (standing === RequestStanding.OnProbation) this._onProbation.set(endpoint.endpointId, run)
+    const status = this.standingOf(identity)
+    if (status !== RequestStanding.Free) this._countRisk(endpoint.endpointId, 1)
+    const run = Object.assign(this._runs.start(endpoint, identity), { status })
+    if (status === RequestStanding.OnProbation) this._probationRuns.set(endpoint.endpointId, run)
     return run
   }
 
   /** An endpoint answered with an error of its own. It may not have come to what ends it: that clears nothing. */
   answeredWithError (run: QuarantinedRun): void {
-    this._end(run)
+    this._release(run)
     this._runs.done(run)
   }
 
   /** An endpoint did the request, and outlived it. */
   answered (run: QuarantinedRun): void {
-    this._end(run)
+    this._release(run)
     this._runs.done(run)
     const { digest } = run.identity
-    this._answeredAtMs.set(digest, this._parts.clock.nowMs())
-    const told = this._parts.view.quarantine.get(digest)
-    const isSuspected = told !== undefined && told.verdict !== QuarantineVerdict.Cleared
-    const hadOwn = this._ownEnds.delete(digest)
+    this._answeredAtMs.set(digest, this._options.clock.nowMs())
+    const notice = this._options.view.quarantine.get(digest)
+    const isSuspected = notice !== undefined && notice.verdict !== QuarantineVerdict.Cleared
+    const hadOwn = this._ownTerminations.delete(digest)
     if (!hadOwn && !isSuspected) return
     this._reports.cleared(digest, isSuspected)
   }
 
   /** The try brought no answer. */
   failed (run: QuarantinedRun, outcome: UnansweredOutcome): void {
-    this._end(run)
+    this._release(run)
     const { endpoint } = run
-    if (outcome.kind === 'broken' && outcome.isConnectionLost === true) return this._runs.lost(run)
-    if (outcome.kind === 'broken') return this._runs.left(run)
+    if (outcome.kind === 'broken' && outcome.isConnectionLost === true) return this._runs.connectionLost(run)
+    if (outcome.kind === 'broken') return this._runs.abandoned(run)
     this._runs.done(run)
-    const isGone = outcome.kind === 'misdirected' || (outcome.kind === 'unreached' && outcome.isRefused === true)
-    if (isGone) this._runs.isGone(endpoint)
+    const isUnreachable = outcome.kind === 'misdirected' || (outcome.kind === 'unreached' && outcome.isRefused === true)
+    if (isUnreachable) this._runs.endpointUnreachable(endpoint)
   }
 
   /** This host gave the run up. */
   left (run: QuarantinedRun): void {
-    this._end(run)
-    this._runs.left(run)
+    this._release(run)
+    this._runs.abandoned(run)
   }
 
   /** A condemned request came again and goes to no endpoint. */
   noteHeldBack (identity: RequestIdentity, fields: { attemptId: string, route: string }): void {
-    const { logger, metrics, view } = this._parts
+    const { logger, metrics, view } = this._options
     const { digest } = identity
     metrics.count(MetricName.QuarantineHeldBack)
-    if (!this._heldBackNews.isNews(digest)) return
-    const endpointIds = view.quarantine.get(digest)?.endpointIds ?? [...this._ownEnds.get(digest) ?? []]
-    logger.event(QuarantineEvent.SendHeldBack, { digest, endpointIds, ...fields })
+    if (!this._withheldLogFilter.isNews(digest)) return
+    const endpointIds = view.quarantine.get(digest)?.endpointIds ?? [...this._ownTerminations.get(digest) ?? []]
+    logger.event(QuarantineEvent.RequestWithheld, { digest, endpointIds, ...fields })
   }
 
   /** Ends that count against a request, by what this host was told and what it saw besides. */
-  private _endsCount (digest: string): number {
-    const told = this._parts.view.quarantine.get(digest)
-    const own = this._ownEnds.get(digest)
-    const unnoted = [...own ?? []].filter(endpointId => told?.endpointIds.includes(endpointId) !== true).length
-    return this._toldCount(told, unnoted) + unnoted
-  }
-
-  private _toldCount (told: QuarantineNotice | undefined, unnoted: number): number {
-    if (!told || told.verdict === QuarantineVerdict.Cleared) return 0
-    const isExpired = this._parts.clock.wallMs() - told.endedAtMs > QUARANTINE_MS
-    const { length } = told.endpointIds
-    if (told.verdict === QuarantineVerdict.Condemned) return isExpired && unnoted === 0 ? CONDEMNING_ENDS_COUNT - 1 : length
+  private _terminationsCount (digest: string): number {
+    const notice = this._options.view.quarantine.get(digest)
+    const own = this._ownTerminations.get(digest)
+    const unreportedCount = [...own ?? []].filter(endpointId => notice?.endpointIds.includes(endpointId) !== true).length
+    return this._reportedCount(notice, unreportedCount) + unreportedCount
+  }
+
+  private _reportedCount (notice: QuarantineNotice | undefined, unreportedCount: number): number {
+    if (!notice || notice.verdict === QuarantineVerdict.Cleared) return 0
+    const isExpired = this._options.clock.wallMs() - notice.endedAtMs > QUARANTINE_MS
+    const { length } = notice.endpointIds
+    if (notice.verdict === QuarantineVerdict.Condemned) return isExpired && unreportedCount === 0 ? CONDEMNING_ENDS_COUNT - 1 : length
     // As many as condemn, and yet not condemned: others account for them.
     return isExpired ? 0 : Math.min(length, CONDEMNING_ENDS_COUNT - 1)
   }
 
-  private _onEnded (endpoint: FleetEndpoint, identities: RequestIdentity[]): void {
-    const { clock, logger, metrics } = this._parts
+  private _onTerminated (endpoint: FleetEndpoint, identities: RequestIdentity[]): void {
+    const { clock, logger, metrics } = this._options
     const nowMs = clock.nowMs()
     const digests = [...new Set(identities.map(({ digest }) => digest))]
-    const suspects = digests.filter(digest => nowMs - (this._answeredAtMs.get(digest) ?? Number.NEGATIVE_INFINITY) > ANSWERED_KEPT_MS)
-    logger.event(QuarantineEvent.EndpointEnded, { endpointId: endpoint.endpointId, service: endpoint.service, address: endpoint.address, suspects, answeredLatelyCount: digests.length - suspects.length })
+    const suspects = digests.filter(digest => nowMs - (this._answeredAtMs.get(digest) ?? Number.NEGATIVE_INFINITY) > ANSWER_RETENTION_MS)
+    logger.event(QuarantineEvent.EndpointTerminated, { endpointId: endpoint.endpointId, service: endpoint.service, address: endpoint.address, suspects, answeredLatelyCount: digests.length - suspects.length })
     metrics.count(MetricName.QuarantineEndpointEnded, { pool: endpoint.service })
     for (const digest of suspects) this._suspect(digest, endpoint.endpointId)
   }
 
   private _suspect (digest: string, endpointId: string): void {
-    const own = this._ownEnds.get(digest) ?? new Set()
+    const own = this._ownTerminations.get(digest) ?? new Set()
     own.add(endpointId)
-    this._ownEnds.set(digest, own)
-    const endsCount = this._endsCount(digest)
-    this._reports.ended(endpointId, digest, endsCount === 1)
-    this._note(endsCount >= CONDEMNING_ENDS_COUNT ? QuarantineVerdict.Condemned : QuarantineVerdict.Suspected, digest, [...own], 'seen here')
+    this._ownTerminations.set(digest, own)
+    const terminationsCount = this._terminationsCount(digest)
+    this._reports.ended(endpointId, digest, terminationsCount === 1)
+    this._logVerdict(terminationsCount >= CONDEMNING_ENDS_COUNT ? QuarantineVerdict.Condemned : QuarantineVerdict.Suspected, digest, [...own], 'seen here')
   }
 
   private _onNotice ({ digest, verdict, endpointIds }: QuarantineNotice): void {
-    if (verdict === QuarantineVerdict.Cleared) this._ownEnds.delete(digest)
-    this._note(verdict, digest, endpointIds, 'told')
-    this._parts.metrics.gauge(MetricName.QuarantineCondemned, this._parts.view.quarantine.condemnedDigests().length)
+    if (verdict === QuarantineVerdict.Cleared) this._ownTerminations.delete(digest)
+    this._logVerdict(verdict, digest, endpointIds, 'told')
+    this._options.metrics.gauge(MetricName.QuarantineCondemned, this._options.view.quarantine.condemnedDigests().length)
   }
 
-  private _note (verdict: QuarantineVerdict, digest: string, endpointIds: string[], source: string): void {
+  private _logVerdict (verdict: QuarantineVerdict, digest: string, endpointIds: string[], source: string): void {
     const event = {
       [QuarantineVerdict.Cleared]: QuarantineEvent.RequestCleared,
       [QuarantineVerdict.Suspected]: QuarantineEvent.RequestSuspected,
       [QuarantineVerdict.Condemned]: QuarantineEvent.RequestCondemned
     }[verdict]
-    this._parts.logger.event(event, { digest, endpointIds, source })
-    this._parts.metrics.count(MetricName.QuarantineVerdict, { verdict })
+    this._options.logger.event(event, { digest, endpointIds, source })
+    this._options.metrics.count(MetricName.QuarantineVerdict, { verdict })
   }
 
-  private _end (run: QuarantinedRun): void {
+  private _release (run: QuarantinedRun): void {
     const { endpointId } = run.endpoint
-    if (run.standing !== RequestStanding.Free) this._countRisk(endpointId, -1)
-    if (this._onProbation.get(endpointId) === run) this._onProbation.delete(endpointId)
+    if (run.status !== RequestStanding.Free) this._countRisk(endpointId, -1)
+    if (this._probationRuns.get(endpointId) === run) this._probationRuns.delete(endpointId)
   }
 
   private _countRisk (endpointId: string, change: number): void {
--- a/tests/accounts/admission.test.ts
+++ b/tests/accounts/admission.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import { AccountTable } from '../../src/accounts/accountTable.js'
-import { admit, AdmissionProblem, IN_TOUCH_MS, type Admission, type Caller } from '../../src/accounts/admission.js'
+import { admit, AdmissionProblem, CONNECTED_WITHIN_MS, type Admission, type CallContext } from '../../src/accounts/admission.js'
 import { CallerAdmission } from '../../src/accounts/callerAdmission.js'
 import { digestOfKey, isSameDigest, shortDigest } from '../../src/accounts/keyDigest.js'
 import { routing } from '../fixtures/fleet/fleetFixtures.js'
@@ -14,15 +14,15 @@
   { name: 'keyless', keyDigests: [] }
 ])
 
-function caller (changes: Partial<Caller> = {}): Caller {
-  return { accounts, isPublic: false, keyDigest: digestOfKey(KEY), outOfTouchMs: 0, ...changes }
+function caller (changes: Partial<CallContext> = {}): CallContext {
+  return { accounts, isPublic: false, keyDigest: digestOfKey(KEY), disconnectedMs: 0, ...changes }
 }
 
 const learners: Admission = { kind: 'admitted', account: 'learners', priority: 1 }
 const nobody: Admission = { kind: 'admitted', account: undefined, priority: undefined }
 const unknownDigest = digestOfKey('nobody has this')
 
-const cases: Array<[string, Caller, typeof lenient, Admission]> = [
+const cases: Array<[string, CallContext, typeof lenient, Admission]> = [
   ['a key in the name of its holder', caller(), lenient, learners],
   ['every key of an account', caller({ keyDigest: digestOfKey('another key of learners') }), lenient, learners],
   ['anybody where callers need no key', caller({ accounts: undefined, keyDigest: undefined }), lenient, { kind: 'open' }],
@@ -30,12 +30,12 @@
   ['a public route with an unknown key in nobody\'s name', caller({ isPublic: true, keyDigest: unknownDigest }), lenient, nobody],
   ['a public route with a known key in the name of its holder', caller({ isPublic: true }), lenient, learners],
   ['no caller without a key', caller({ keyDigest: undefined }), lenient, { kind: 'refused', reason: AdmissionProblem.MissingKey }],
-  ['no unknown key while the host is in touch', caller({ keyDigest: unknownDigest, outOfTouchMs: IN_TOUCH_MS }), lenient, { kind: 'refused', reason: AdmissionProblem.UnknownKey }],
-  ['an unknown key later, once the host is in touch again', caller({ keyDigest: unknownDigest, outOfTouchMs: IN_TOUCH_MS + 1 }), lenient, { kind: 'unsure', reason: AdmissionProblem.UnknownKey }],
-  ['a known key at a host out of touch where revocation is lenient', caller({ outOfTouchMs: Number.POSITIVE_INFINITY }), lenient, learners],
-  ['a known key up to the bound where revocation is strict', caller({ outOfTouchMs: 5_000 }), strict, learners],
-  ['no known key beyond the bound where revocation is strict', caller({ outOfTouchMs: 5_001 }), strict, { kind: 'unsure', reason: AdmissionProblem.OutOfTouch }],
-  ['a public route beyond that bound in nobody\'s name', caller({ outOfTouchMs: 5_001, isPublic: true }), strict, nobody]
+  ['no unknown key while the host is in touch', caller({ keyDigest: unknownDigest, disconnectedMs: CONNECTED_WITHIN_MS }), lenient, { kind: 'refused', reason: AdmissionProblem.UnknownKey }],
+  ['an unknown key later, once the host is in touch again', caller({ keyDigest: unknownDigest, disconnectedMs: CONNECTED_WITHIN_MS + 1 }), lenient, { kind: 'unsure', reason: AdmissionProblem.UnknownKey }],
+  ['a known key at a host out of touch where revocation is lenient', caller({ disconnectedMs: Number.POSITIVE_INFINITY }), lenient, learners],
+  ['a known key up to the bound where revocation is strict', caller({ disconnectedMs: 5_000 }), strict, learners],
+  ['no known key beyond the bound where revocation is strict', caller({ disconnectedMs: 5_001 }), strict, { kind: 'unsure', reason: AdmissionProblem.Disconnected }],
+  ['a public route beyond that bound in nobody\'s name', caller({ disconnectedMs: 5_001, isPublic: true }), strict, nobody]
 ]
 
 for (const [what, call, policy, expected] of cases) {
--- a/tests/endpoints/endpointHealth.test.ts
+++ b/tests/endpoints/endpointHealth.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { EndpointHealth, FailureReason } from '../../src/endpoints/endpointHealth.js'
 import { FailureAccount } from '../../src/endpoints/failureAccount.js'
-import { FIRST_SUSPICION_MS, MAX_SUSPICION_MS, TRIAL_MS } from '../../src/endpoints/suspicion.js'
+import { FIRST_EJECTION_MS, MAX_EJECTION_MS, PROBE_TIMEOUT_MS } from '../../src/endpoints/suspicion.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
 interface World {
@@ -14,7 +14,7 @@
 function world (isWidespread = false): World {
   const clock = new VirtualClock()
   const leftOutMs: number[] = []
-  const health = new EndpointHealth({ clock, onLeftOut: (_reason, forMs) => leftOutMs.push(forMs), isWidespread: () => isWidespread })
+  const health = new EndpointHealth({ clock, onEjected: (_reason, forMs) => leftOutMs.push(forMs), isWidespread: () => isWidespread })
   return { clock, health, leftOutMs }
 }
 
@@ -29,7 +29,7 @@
   const { clock, health, leftOutMs } = world()
   await clock.advance(1_000)
   for (let beganAtMs = 0; beganAtMs < 800; beganAtMs += 100) health.failed(FailureReason.Broken, beganAtMs)
-  t.deepEqual(leftOutMs, [FIRST_SUSPICION_MS])
+  t.deepEqual(leftOutMs, [FIRST_EJECTION_MS])
 })
 
 test('should leave an endpoint out for twice as long after each failed trial, up to a bound', async t => {
@@ -40,18 +40,18 @@
     await all.clock.advance(all.leftOutMs.at(-1) ?? 0)
     t.false(all.health.isSuspect)
   }
-  t.deepEqual(all.leftOutMs, [100, 200, 400, 800, 1_600, MAX_SUSPICION_MS, MAX_SUSPICION_MS])
+  t.deepEqual(all.leftOutMs, [100, 200, 400, 800, 1_600, MAX_EJECTION_MS, MAX_EJECTION_MS])
 })
 
 test('should let one request at a time try an endpoint that failed, until something comes from it', async t => {
   const all = world()
   await fail(all)
-  await all.clock.advance(FIRST_SUSPICION_MS)
+  await all.clock.advance(FIRST_EJECTION_MS)
   t.true(all.health.isOpen)
   t.true(all.health.isOnTrial)
   all.health.began()
   t.false(all.health.isOpen)
-  await all.clock.advance(TRIAL_MS)
+  await all.clock.advance(PROBE_TIMEOUT_MS)
   t.true(all.health.isOpen, 'a trial without an outcome does not keep others off for good')
   all.health.began()
   all.health.worked()
@@ -63,7 +63,7 @@
   const all = world(true)
   for (let round = 0; round < 5; round++) {
     await fail(all)
-    await all.clock.advance(FIRST_SUSPICION_MS)
+    await all.clock.advance(FIRST_EJECTION_MS)
     t.true(all.health.isOpen, `failure ${round + 1}`)
   }
 })
@@ -73,7 +73,7 @@
   const fails = async (subject: string): Promise<void> => {
     const beganAtMs = clock.nowMs()
     await clock.advance(1)
-    health.erred(subject, beganAtMs)
+    health.failedRequest(subject, beganAtMs)
   }
   await fails('a')
   await fails('a')
@@ -82,7 +82,7 @@
   await fails('b')
   t.deepEqual(leftOutMs, [], 'one that went well lies between them')
   await fails('c')
-  t.deepEqual(leftOutMs, [FIRST_SUSPICION_MS])
+  t.deepEqual(leftOutMs, [FIRST_EJECTION_MS])
   health.worked()
   t.true(health.isSuspect, 'that it is reached says nothing of what it makes of requests')
 })
@@ -92,8 +92,8 @@
   for (let round = 0; round < 4; round++) {
     const beganAtMs = clock.nowMs()
     await clock.advance(1)
-    health.erred(`r${round}`, beganAtMs)
-    await clock.advance(MAX_SUSPICION_MS)
+    health.failedRequest(`r${round}`, beganAtMs)
+    await clock.advance(MAX_EJECTION_MS)
   }
   health.accepted()
   health.accepted()
--- a/tests/engineSupply/supplyPlan.test.ts
+++ b/tests/engineSupply/supplyPlan.test.ts
@@ -1,20 +1,20 @@
 import test from 'ava'
-import { planSupply, type SuppliedPlace } from '../../src/engineSupply/supplyPlan.js'
+import { planSupply, type DataCentreSupply } from '../../src/engineSupply/supplyPlan.js'
 
 const scaling = { minCount: 1, maxCount: 15, bootMs: 4_000, reclaimablePrice: 0.15, prices: { north: 1, south: 0.8 } }
 
-function place (dataCentre: string, changes: Partial<SuppliedPlace> = {}): SuppliedPlace {
-  return { dataCentre, keptCount: 8, orderedKeptCount: undefined, isDry: false, ...changes }
+function place (dataCentre: string, changes: Partial<DataCentreSupply> = {}): DataCentreSupply {
+  return { dataCentre, permanentCount: 8, orderedPermanentCount: undefined, isOutOfCapacity: false, ...changes }
 }
 
 test('should leave engines as they are where none can be had for less', t => {
   const { reclaimablePrice, ...without } = scaling
-  t.deepEqual(planSupply([place('north')], without, { itemsCount: 900, slotsCount: 8 }), [{ dataCentre: 'north', keptCount: 8, reclaimableCount: 0 }])
+  t.deepEqual(planSupply([place('north')], without, { itemsCount: 900, slotsCount: 8 }), [{ dataCentre: 'north', permanentCount: 8, reclaimableCount: 0 }])
 })
 
 test('should let reclaimable engines stand in for those that are missing, spread over the data centres', t => {
-  const planned = planSupply([place('north', { keptCount: 5, orderedKeptCount: 8 }), place('south', { keptCount: 7, orderedKeptCount: 7 })], scaling, { itemsCount: 160, slotsCount: 8 })
-  t.deepEqual(planned.map(({ keptCount, reclaimableCount }) => [keptCount, reclaimableCount]), [[8, 4], [7, 4]])
+  const planned = planSupply([place('north', { permanentCount: 5, orderedPermanentCount: 8 }), place('south', { permanentCount: 7, orderedPermanentCount: 7 })], scaling, { itemsCount: 160, slotsCount: 8 })
+  t.deepEqual(planned.map(({ permanentCount, reclaimableCount }) => [permanentCount, reclaimableCount]), [[8, 4], [7, 4]])
 })
 
 // Guards against more runs than the leader of the batch store can read the events of: it lost its leadership at each step.
@@ -24,18 +24,18 @@
 })
 
 test('should order within what a data centre may have, and elsewhere where one has none to give', t => {
-  const full = planSupply([place('north', { keptCount: 1, orderedKeptCount: 14 }), place('south', { keptCount: 0, orderedKeptCount: 15 })], scaling, { itemsCount: 960, slotsCount: 8 })
-  t.deepEqual(full.map(({ keptCount, reclaimableCount }) => keptCount + reclaimableCount), [15, 15])
-  const dry = planSupply([place('north', { keptCount: 4, isDry: true }), place('south', { keptCount: 4 })], scaling, { itemsCount: 80, slotsCount: 8 })
+  const full = planSupply([place('north', { permanentCount: 1, orderedPermanentCount: 14 }), place('south', { permanentCount: 0, orderedPermanentCount: 15 })], scaling, { itemsCount: 960, slotsCount: 8 })
+  t.deepEqual(full.map(({ permanentCount, reclaimableCount }) => permanentCount + reclaimableCount), [15, 15])
+  const dry = planSupply([place('north', { permanentCount: 4, isOutOfCapacity: true }), place('south', { permanentCount: 4 })], scaling, { itemsCount: 80, slotsCount: 8 })
   t.deepEqual(dry.map(({ reclaimableCount }) => reclaimableCount), [0, 2])
 })
 
 test('should keep to the number that was ordered while engines are down', t => {
-  const [planned] = planSupply([place('north', { keptCount: 3, orderedKeptCount: 8 })], scaling, { itemsCount: 0, slotsCount: 8 })
-  t.is(planned?.keptCount, 8)
+  const [planned] = planSupply([place('north', { permanentCount: 3, orderedPermanentCount: 8 })], scaling, { itemsCount: 0, slotsCount: 8 })
+  t.is(planned?.permanentCount, 8)
 })
 
 test('should order within the bounds of a data centre', t => {
-  const [planned] = planSupply([place('north', { keptCount: 0, orderedKeptCount: undefined })], scaling, { itemsCount: 0, slotsCount: 8 })
-  t.is(planned?.keptCount, 1)
+  const [planned] = planSupply([place('north', { permanentCount: 0, orderedPermanentCount: undefined })], scaling, { itemsCount: 0, slotsCount: 8 })
+  t.is(planned?.permanentCount, 1)
 })
--- a/tests/fleet/fleetTime.test.ts
+++ b/tests/fleet/fleetTime.test.ts
@@ -24,10 +24,10 @@
   await clock.advance(10_000)
   const time = new FleetTime(clock)
   t.is(time.wallAt(10_000), 10_000)
-  time.learn('c1', { fleetWallMs: 50_000, calledAtMs: 9_990, answeredAtMs: 10_000 })
-  time.learn('c1', { fleetWallMs: 50_900, calledAtMs: 9_000, answeredAtMs: 10_000 })
-  time.learn('c2', { fleetWallMs: 50_000, calledAtMs: 9_990, answeredAtMs: 10_000 })
-  time.learn('c3', { fleetWallMs: 99_000, calledAtMs: 9_990, answeredAtMs: 10_000 })
+  time.addSample('c1', { fleetWallMs: 50_000, calledAtMs: 9_990, answeredAtMs: 10_000 })
+  time.addSample('c1', { fleetWallMs: 50_900, calledAtMs: 9_000, answeredAtMs: 10_000 })
+  time.addSample('c2', { fleetWallMs: 50_000, calledAtMs: 9_990, answeredAtMs: 10_000 })
+  time.addSample('c3', { fleetWallMs: 99_000, calledAtMs: 9_990, answeredAtMs: 10_000 })
   t.is(time.wallAt(10_000), 50_005)
 })
 
@@ -58,7 +58,7 @@
   for (const [position, { heard, tally }] of controls.entries()) {
     heard.learn(id, own.wallMs() - ONE_WAY_MS)
     tally.learn(id, counter.reportSince(0).report)
-    time.learn(String(position), { fleetWallMs: heard.wallMs() - ONE_WAY_MS, calledAtMs: own.nowMs() - 2 * ONE_WAY_MS, answeredAtMs: own.nowMs() })
+    time.addSample(String(position), { fleetWallMs: heard.wallMs() - ONE_WAY_MS, calledAtMs: own.nowMs() - 2 * ONE_WAY_MS, answeredAtMs: own.nowMs() })
   }
 }
 
--- a/tests/fleet/fleetView.test.ts
+++ b/tests/fleet/fleetView.test.ts
@@ -51,7 +51,7 @@
   view.merge('control-1', { hosts: [storeHost('s1', 3, true)] })
   view.merge('control-2', { hosts: [storeHost('s2', 4, true)] })
   t.is(view.storeLeader()?.hostId, 's2')
-  view.forgetHostsOf('control-2')
+  view.removeHostsOf('control-2')
   t.is(view.storeLeader()?.hostId, 's1')
 })
 
--- a/tests/gateway/waitingTurns.test.ts
+++ b/tests/gateway/waitingTurns.test.ts
@@ -1,14 +1,14 @@
 import test from 'ava'
-import { WaitingTurns, type WaitingTurn } from '../../src/gateway/waitingTurns.js'
+import { FairWaitQueue, type QueueEntry } from '../../src/gateway/waitingTurns.js'
 
 const SERVICE = 'decks'
 
 test('should let anybody try while nobody waits, and the earliest of those that wait', t => {
-  const turns = new WaitingTurns()
+  const turns = new FairWaitQueue()
   const [first, second] = [{ service: SERVICE, priority: 2 }, { service: SERVICE, priority: 2 }]
   t.true(turns.mayTry(second, 1))
-  turns.wait(first)
-  turns.wait(second)
+  turns.enqueue(first)
+  turns.enqueue(second)
   t.true(turns.mayTry(first, 1))
   t.false(turns.mayTry(second, 1))
   t.true(turns.mayTry(second, 2))
@@ -17,23 +17,23 @@
 })
 
 test('should let the urgent try before what came earlier', t => {
-  const turns = new WaitingTurns()
+  const turns = new FairWaitQueue()
   const [patient, urgent] = [{ service: SERVICE, priority: 2 }, { service: SERVICE, priority: 0 }]
-  turns.wait(patient)
-  turns.wait(urgent)
+  turns.enqueue(patient)
+  turns.enqueue(urgent)
   t.true(turns.mayTry(urgent, 1))
   t.false(turns.mayTry(patient, 1))
 })
 
 /** Serves one request every 20 ms for a minute while as many come as there are priorities; what has waited for its deadline leaves. */
 function serveOverload (priorities: number[], deadlineMs: number): number[] {
-  const turns = new WaitingTurns()
-  let waiting: Array<{ turn: WaitingTurn, sinceMs: number }> = []
+  const turns = new FairWaitQueue()
+  let waiting: Array<{ turn: QueueEntry, sinceMs: number }> = []
   const servedCounts = priorities.map(() => 0)
   for (let nowMs = 0; nowMs < 60_000; nowMs += 20) {
     for (const priority of priorities) {
       const turn = { service: SERVICE, priority }
-      turns.wait(turn)
+      turns.enqueue(turn)
       waiting.push({ turn, sinceMs: nowMs })
     }
     const next = waiting.find(({ turn }) => turns.mayTry(turn, 1))
