--- a/src/accounts/accountTable.ts
+++ b/src/accounts/accountTable.ts
@@ -1,5 +1,5 @@
 /**
- * Who holds which key, by the routing configuration in force.
+ * Maps keys to client accounts, according to the routing configuration in force.
  */
 import type { ClientAccount, Routing } from '../protocol/routing.js'
 import { isSameDigest, shortDigest } from './keyDigest.js'
@@ -18,7 +18,7 @@
     }
   }
 
-  /** The account that holds a key; undefined when none does. */
+  /** The account that the key with this digest belongs to; undefined when there is none. */
   holderOf (digest: string): ClientAccount | undefined {
     return this._byShortDigest.get(shortDigest(digest))?.find(key => isSameDigest(key.digest, digest))?.account
   }
@@ -30,12 +30,12 @@
   }
 }
 
-/** Keeps the table of the routing configuration in force. */
+/** Caches the table of the routing configuration in force. */
 export class CurrentAccounts {
   private _version: number | undefined
   private _table: AccountTable | undefined
 
-  /** Undefined where callers need no key; made anew when the version has changed. */
+  /** Returns undefined where callers need no key; rebuilds the table when the version has changed. */
   of (routing: Routing): AccountTable | undefined {
     if (this._version !== routing.version) {
       this._version = routing.version
--- a/src/accounts/admission.ts
+++ b/src/accounts/admission.ts
@@ -1,52 +1,52 @@
 /**
- * Who may call, and in whose name: the one decision for requests, streams,
- * submissions and calls about batches. Pure functions; keys come as digests.
+ * Decides who may call and for which account; used for requests, streams, batch
+ * submissions and calls about batches. Pure functions; keys are given as digests.
  *
- * A key that this host does not know may have been added while the host was out
- * of touch with the control hosts. It is refused for good only by a host that is
- * in touch; any other one says that the caller may come back, so that nobody
- * gives up a key that is good. Nothing is asked of the control hosts for it:
- * unknown keys in masses stay with the host that they come to.
+ * A key that this host does not know may have been added while the host was
+ * disconnected from the control hosts. Only a connected host refuses it
+ * definitively; any other host answers that the caller may retry, so that nobody
+ * discards a valid key. The control hosts are not queried for unknown keys: a flood
+ * of them affects only the host that receives it.
  */
 import type { AccountTable } from './accountTable.js'
 
 export interface KeyPolicy {
-  /** A host that is out of touch admits no key any more, rather than one that may have been taken away. */
+  /** Whether a disconnected host stops admitting keys, as any of them may have been revoked. */
   isRevocationStrict: boolean
-  /** How long it admits the keys that it knows, if revocation is strict. */
+  /** How long a disconnected host still admits the keys that it knows, if revocation is strict. */
   revokeMs: number
 }
 
-/** What is known of the call and of this host. */
+/** What the decision about a call depends on. */
 export interface CallContext {
   /** Undefined where callers need no key. */
   accounts: AccountTable | undefined
-  /** The route needs no key. */
+  /** Whether the route needs no key. */
   isPublic: boolean
   /** Digest of the key that the caller sent; undefined without one. */
   keyDigest: string | undefined
-  /** For how long no majority of the control hosts has been heard. */
+  /** Time since a majority of the control hosts last answered, in milliseconds. */
   disconnectedMs: number
 }
 
 export type Admission =
-  /** Callers need no key here: what they send is theirs. */
+  /** Callers need no key here; a key header that they send is passed on. */
   | { kind: 'open' }
-  /** In the name of an account, or of none on a public route. */
+  /** Admitted for an account, or for none on a public route. */
   | { kind: 'admitted', account: string | undefined, priority: number | undefined }
-  /** Nobody holds the key, or there is none. */
+  /** The key is missing or belongs to no account. */
   | { kind: 'refused', reason: AdmissionProblem }
-  /** This host cannot tell: the key may be newer than what it knows, or may have been taken away. */
+  /** This host cannot decide: the key may be newer than its configuration, or may have been revoked. */
   | { kind: 'unsure', reason: AdmissionProblem }
 
 export enum AdmissionProblem {
   MissingKey = 'missing_key',
   UnknownKey = 'unknown_key',
-  /** The host has been out of touch for longer than keys may outlive their removal. */
+  /** The host has been disconnected for longer than a revoked key may stay valid. */
   Disconnected = 'out_of_touch'
 }
 
-/** A host in touch has every change by then: followers call twice a second, and a call lasts 600 ms at most. */
+/** A host whose calls were answered within this time counts as connected and knows every change: followers call twice a second, and a call takes at most 600 ms. */
 export const CONNECTED_WITHIN_MS = 1_500
 
 export function admit ({ accounts, isPublic, keyDigest, disconnectedMs }: CallContext, { isRevocationStrict, revokeMs }: KeyPolicy): Admission {
--- a/src/accounts/callerAdmission.ts
+++ b/src/accounts/callerAdmission.ts
@@ -1,6 +1,7 @@
 /**
- * Admission as an entry host decides it, by the routing configuration in force
- * at the moment of the call: a connection that is kept has no standing of its own.
+ * Admission of callers at an entry host. Every call is decided by the routing
+ * configuration in force at that moment: a kept-alive connection carries no
+ * admission over from earlier calls.
  */
 import type { Routing } from '../protocol/routing.js'
 import { CurrentAccounts } from './accountTable.js'
@@ -9,13 +10,13 @@
 
 export interface CallerAdmissionOptions {
   policy: KeyPolicy
-  /** For how long no majority of the control hosts has been heard. */
+  /** Time since a majority of the control hosts last answered, in milliseconds. */
   outOfTouchMs: () => number
 }
 
 export interface AdmissionDecision {
   admission: Admission
-  /** What the log calls the key; undefined without one. */
+  /** Name of the key for the log, the start of its digest; undefined without a key. */
   keyName: string | undefined
 }
 
@@ -27,7 +28,7 @@
     this._options = options
   }
 
-  /** @param key as the caller sent it; undefined without one */
+  /** @param key the key as the caller sent it; undefined without one */
   decide (routing: Routing, isPublic: boolean, key: string | undefined): AdmissionDecision {
     const accounts = this._accounts.of(routing)
     if (!accounts) return { admission: { kind: 'open' }, keyName: undefined }
--- a/src/accounts/keyDigest.ts
+++ b/src/accounts/keyDigest.ts
@@ -1,10 +1,10 @@
 /**
- * Keys of client accounts as digests. A key is turned into its digest where it
- * enters the system, and only digests are kept, sent, compared and logged.
+ * Digests of the keys of client accounts. A key is hashed where it enters the
+ * system; only digests are stored, sent, compared and logged.
  */
 import { createHash, timingSafeEqual } from 'node:crypto'
 
-/** Characters of a digest that tell keys apart in logs and tables; say nothing of the key. */
+/** Characters of a digest that identify a key in logs and tables without revealing it. */
 const SHORT_DIGEST_LENGTH = 10
 
 /** SHA-256 in base64url. */
--- a/src/accounts/priorityShare.ts
+++ b/src/accounts/priorityShare.ts
@@ -1,11 +1,12 @@
 /**
- * Who is served next where several priorities wait: the more urgent more often,
- * and each in proportion to what waits of it, so that nobody is starved however
- * much the urgent ask for (stride scheduling; Waldspurger and Weihl, 1995). With
- * one priority alone, nothing is changed.
+ * Chooses which of several waiting priorities is served next (stride scheduling;
+ * Waldspurger and Weihl, 1995). More urgent priorities are served more often, and
+ * each in proportion to its number of waiting requests, so that no priority is
+ * starved however many urgent requests there are. With a single priority the order
+ * is unaffected.
  */
 
-/** A priority is served up to this many times as often as the least urgent one, for the same number that wait: under the four at which somebody counts as starved. */
+/** At equal numbers of waiting requests, a priority is served at most this many times as often as the least urgent one; below 4, the ratio that counts as starvation. */
 const MAX_WEIGHT = 3
 
 /** @param priority 0 is the most urgent */
@@ -14,17 +15,17 @@
 }
 
 export class StrideScheduler {
-  /** How much each priority was given, in shares; the least goes next. */
+  /** Stride scheduling pass of each priority; the lowest is served next. */
   private readonly _passes = new Map<number, number>()
 
-  /** The priority whose turn it is; undefined when nothing waits. */
+  /** The priority to serve next; undefined when nothing is waiting. */
   next (waitingCounts: ReadonlyMap<number, number>): number | undefined {
     const waiting = [...waitingCounts].filter(([, count]) => count > 0).map(([priority]) => priority)
     this._retainOnly(waiting)
     return this._lowestPass(waiting)
   }
 
-  /** One of a priority was served, of so many that waited. */
+  /** Records that one of `waitingCount` waiting requests of a priority was served. */
   served (priority: number, waitingCount: number): void {
     this._passes.set(priority, this._passOf(priority) + 1 / (weightOf(priority) * Math.max(1, waitingCount)))
   }
@@ -33,7 +34,7 @@
     return [...priorities].sort((left, right) => this._passOf(left) - this._passOf(right) || left - right)[0]
   }
 
-  /** What has just begun to wait is not owed for the time before. */
+  /** A priority that has just started to wait gets no credit for the time before. */
   private _passOf (priority: number): number {
     return this._passes.get(priority) ?? (this._passes.size > 0 ? Math.min(...this._passes.values()) : 0)
   }
--- a/src/duties/dutyEvents.ts
+++ b/src/duties/dutyEvents.ts
@@ -1,5 +1,5 @@
 /**
- * Log events of the duties of one host at a time: 3300 to 3319.
+ * Log events of duties, which are performed by one host at a time: 3300 to 3319.
  */
 import { LogLevel, type EventCatalogue } from '../utils/logger.js'
 
@@ -12,9 +12,9 @@
 }
 
 export const dutyEventCatalogue: EventCatalogue = {
-  [DutyEvent.DutyClaimed]: { level: LogLevel.Info, text: 'This host has taken over a duty.', advice: 'Expected after each change of leader, a lease after the election. Often: look for lost leaders.' },
-  [DutyEvent.CallEnded]: { level: LogLevel.Info, text: 'A call to the infrastructure has ended, or was not sent.', advice: 'Unknown: it is repeated with the same content. Conflict: other content holds, or nothing is to be had now. Stale fence: another host has taken over.' },
-  [DutyEvent.WindowClosed]: { level: LogLevel.Info, text: 'The use in a window was closed: what is reported of it stays the same from now on.', advice: 'Not settled: some host had not told all of it in time; look for hosts that are cut off.' },
-  [DutyEvent.WindowReported]: { level: LogLevel.Info, text: 'The infrastructure has the use of a window.', advice: 'Late: look at the calls before, and for changes of the control leader.' },
-  [DutyEvent.SupplyDecided]: { level: LogLevel.Info, text: 'The number of endpoints to be had in a data centre has changed.', advice: 'Read what the decision went by; see the call that follows.' }
+  [DutyEvent.DutyClaimed]: { level: LogLevel.Info, text: 'This host has taken over a duty.', advice: 'Expected after each change of leader, one lease after the election. If it happens often, check why leaders are lost.' },
+  [DutyEvent.CallEnded]: { level: LogLevel.Info, text: 'A call to the infrastructure has ended, or was not sent.', advice: 'Unknown: the call is repeated with the same content. Conflict: the infrastructure holds other content, or has no capacity now. Stale fence: another host has taken over.' },
+  [DutyEvent.WindowClosed]: { level: LogLevel.Info, text: 'A usage window was closed: the counts reported for it no longer change.', advice: 'If it was not settled, some host had not reported all of its counts in time; check for disconnected hosts.' },
+  [DutyEvent.WindowReported]: { level: LogLevel.Info, text: 'The usage of a window was reported to the infrastructure.', advice: 'If it is late, check the preceding calls (3301) and look for changes of the control leader.' },
+  [DutyEvent.SupplyDecided]: { level: LogLevel.Info, text: 'The desired number of endpoints in a data centre has changed.', advice: 'Check the values that the decision was based on, and the call that follows.' }
 }
--- a/src/duties/dutyLease.ts
+++ b/src/duties/dutyLease.ts
@@ -1,13 +1,13 @@
 /**
- * Whether a leader may act on a duty that its term gives it. The term is the
- * fence; what keeps two leaders from acting by turns is time (Gray and Cheriton,
- * "Leases", 1989; Kleppmann, "How to do distributed locking", 2016): a leader
- * acts only while its own lease lasts, and one that takes over from another
- * host first waits until nothing of that host can arrive any more.
+ * Decides whether a leader may perform a duty. The term serves as the fencing
+ * number; leases keep two leaders from acting alternately (Gray and Cheriton,
+ * "Leases", 1989; Kleppmann, "How to do distributed locking", 2016): a leader acts
+ * only while its own lease lasts, and a leader that takes over from another host
+ * first waits until no call of that host can arrive any more.
  */
 import type { Clock } from '../utils/clock.js'
 
-/** The part of a leadership that a duty rests on. */
+/** The part of a leadership that a duty depends on. */
 export interface LeaderTerm {
   readonly term: number
   readonly isHandingOver: boolean
@@ -19,20 +19,20 @@
   leadership: LeaderTerm
   /** Name of this host. */
   holder: string
-  /** The host that claimed the duty last, as the replicated log has it; undefined before the first. */
+  /** The host that claimed the duty last, according to the replicated log; undefined before the first claim. */
   latestHolder: () => string | undefined
-  /** Two hosts may not act by turns within this time. */
+  /** Two hosts may not act alternately within this time. */
   leaseMs: number
 }
 
-/** Clocks may run at different rates, and a call that was sent as a lease ended arrives a little later. */
+/** Added to the lease: clocks may run at different rates, and a call that was sent just before a lease ended arrives a little later. */
 const CLOCK_MARGIN_MS = 250
 
 export class DutyLease {
   private readonly _options: DutyLeaseOptions
   private readonly _leadingSinceMs: number
 
-  /** To be made once the leader's state holds what earlier leaders committed. */
+  /** Must be created only after the leader has applied everything that earlier leaders committed. */
   constructor (options: DutyLeaseOptions) {
     this._options = options
     this._leadingSinceMs = options.clock.leaseNowMs()
@@ -42,14 +42,14 @@
     return this._options.leadership.term
   }
 
-  /** No other host acted lately: this one may claim the duty, and act once the claim is committed. */
+  /** Whether no other host can have acted recently, so that this one may claim the duty; it may act once the claim is committed. */
   get mayClaim (): boolean {
     const { clock, leaseMs } = this._options
     if (!this._isLeading()) return false
     return this._isClaimed() || clock.leaseNowMs() >= this._leadingSinceMs + leaseMs + CLOCK_MARGIN_MS
   }
 
-  /** To be asked at the last moment before anything leaves this host. */
+  /** Must be checked immediately before anything is sent. */
   get mayAct (): boolean {
     return this._isLeading() && this._isClaimed()
   }
@@ -59,7 +59,7 @@
     return !leadership.isHandingOver && leadership.holdsLease()
   }
 
-  /** Nobody else can have acted since: it would have claimed the duty first. */
+  /** Whether the last claim is of this host. No other host can have acted since: it would have had to claim the duty first. */
   private _isClaimed (): boolean {
     return this._options.latestHolder() === this._options.holder
   }
--- a/src/duties/infrastructure.ts
+++ b/src/duties/infrastructure.ts
@@ -1,14 +1,14 @@
 /**
- * Calls to the infrastructure that are the duty of one host at a time, and what
- * can come of them. Nothing can be read back: a call without a clear answer may
- * have been carried out, or may yet be.
+ * Calls to the infrastructure that only one host at a time may make, and their
+ * outcomes. The state of the infrastructure cannot be read back: a call without a
+ * definite answer may have been executed, or may be executed later.
  */
 import type { Scope } from '../utils/scope.js'
 
 export enum DutyKind {
-  /** Tells how many requests of each client account began in a window of time. */
+  /** Reports how many requests of each client account were started in a time window. */
   ReportUsage = 'report_usage',
-  /** Orders the number of a service's endpoints in one data centre. */
+  /** Orders the desired number of a service's endpoints in one data centre. */
   OrderEndpoints = 'order_endpoints'
 }
 
@@ -16,32 +16,31 @@
   | { kind: DutyKind.ReportUsage, windowId: number, counts: Record<string, number> }
   | { kind: DutyKind.OrderEndpoints, service: string, dataCentre: string, isReclaimable: boolean, desiredCount: number }
 
-/** Who makes a call. */
+/** The host that makes a call. */
 export interface DutyStanding {
   /** Name of the host. */
   holder: string
-  /** Higher with every host that takes the duty over; never shared by two. */
+  /** Increases with every host that takes over the duty; never shared by two hosts. */
   fencingNumber: number
 }
 
 export type DutyOutcome =
   | { kind: 'done' }
-  /** Another content holds already, or nothing is to be had now. */
+  /** The infrastructure already holds other content, or has no capacity now. */
   | { kind: 'conflict' }
-  /** Too many calls of all hosts together. */
+  /** Rate limited: too many calls of all hosts together. */
   | { kind: 'tooMany' }
-  /** A higher fencing number was seen. */
+  /** The infrastructure has seen a higher fencing number. */
   | { kind: 'staleFence' }
   | { kind: 'refused', status: number }
   /** Nothing was sent. */
   | { kind: 'notSent', reason: string }
-  /** It may have been carried out, or may yet be. */
+  /** The call may have been executed, or may be executed later. */
   | { kind: 'unknown', reason: string }
 
 export interface Infrastructure {
   /**
-   * Makes a call.
-   * @param mayAct asked right before the bytes leave: connecting may have taken longer than the duty lasted
+   * @param mayAct checked immediately before the request is written: connecting may have taken longer than the duty lasted
    */
   call: (call: DutyCall, standing: DutyStanding, mayAct: () => boolean, deadlineMs: number, scope: Scope) => Promise<DutyOutcome>
 }
--- a/src/duties/usageCounter.ts
+++ b/src/duties/usageCounter.ts
@@ -1,29 +1,29 @@
 /**
- * Counts the requests that began, on the host that passed them on, by client
- * account and window. What it tells are sums since its start, so that a report
- * which comes twice changes nothing and one that is lost is made up by the next.
+ * Counts the requests that this host forwarded and an endpoint started, by client
+ * account and time window. Reports contain totals since the start of the process,
+ * so that a duplicate report changes nothing and a lost one is made up by the next.
  */
 import type { UsageReport } from '../protocol/usage.js'
 import type { Clock } from '../utils/clock.js'
 import { windowOf } from './usageWindows.js'
 
-/** Windows that are told again to a control host which has just begun to hear this host. */
+/** Windows that are kept to be reported to a control host which this host has just started to follow. */
 const RETAINED_WINDOWS_COUNT = 24
 
 export interface UsageCounterOptions {
   clock: Clock
   windowMs: number
-  /** True time at an instant of this host's monotonic clock. */
+  /** Converts a time of this host's monotonic clock to the time of day of the fleet. */
   wallAt: (nowMs: number) => number
   /** New with every start of the process. */
   incarnation: string
 }
 
-/** A request that is not answered yet. */
+/** A request that was received and has not ended yet. */
 export interface OpenRequest {
-  /** An endpoint has begun it, after it was sent there at this instant. */
+  /** Records that an endpoint has started the request, which was sent there at `sentAtMs`. */
   began: (sentAtMs: number) => void
-  /** Nothing comes of it any more. */
+  /** Records that the request has ended. */
   ended: () => void
 }
 
@@ -35,7 +35,7 @@
 export class UsageCounter {
   private readonly _options: UsageCounterOptions
   private readonly _windows = new Map<number, CountedWindow>()
-  /** Instants at which requests came that are not answered. */
+  /** Arrival times of the open requests. */
   private readonly _openSinceMs = new Set<{ sinceMs: number }>()
   private _revision = 0
 
@@ -43,7 +43,7 @@
     this._options = options
   }
 
-  /** A request of an account has come. */
+  /** Records that a request of an account has arrived. */
   open (account: string): OpenRequest {
     const entry = { sinceMs: this._options.clock.nowMs() }
     this._openSinceMs.add(entry)
@@ -53,7 +53,7 @@
     }
   }
 
-  /** What has changed since a revision, and the revision that this brings a reader to. */
+  /** Returns the counts that have changed since a revision, and the revision that they lead to. */
   reportSince (revision: number): { revision: number, report: UsageReport } {
     const windows = [...this._windows].filter(([, window]) => window.revision > revision)
     return {
@@ -66,7 +66,7 @@
     }
   }
 
-  /** No window before this one gets any further counts here. */
+  /** Id of the first window that may still get counts from this host. */
   private _settledBefore (): number {
     let settledBefore = this._windowAt(this._options.clock.nowMs())
     for (const { sinceMs } of this._openSinceMs) settledBefore = Math.min(settledBefore, this._windowAt(sinceMs))
--- a/src/duties/usageLedger.ts
+++ b/src/duties/usageLedger.ts
@@ -1,7 +1,7 @@
 /**
- * The part of the replicated state that holds the use to be reported. A window
- * is closed once, in order; from then on its content is the same for ever, for
- * whichever host reports it and however often.
+ * The part of the replicated state that holds the usage to be reported. Windows
+ * are closed in order and only once; after that the content of a window never
+ * changes, whichever host reports it and however often.
  */
 import { UsageCommandKind, type UsageCommand, type UsageResult } from '../protocol/usage.js'
 import type { StatePart } from '../replication/replicatedState.js'
@@ -14,13 +14,13 @@
 }
 
 export class UsageLedger implements StatePart<UsageCommand, UsageResult> {
-  /** The host that claimed the duty last; undefined before the first. */
+  /** The host that claimed the duty last; undefined before the first claim. */
   holder: string | undefined
-  /** The window to be closed next; undefined before the first was closed. */
+  /** The window to be closed next; undefined until a window has been closed. */
   nextWindowId: number | undefined
   private _unreported: UsageWindow[] = []
 
-  /** Windows that are closed and that nobody is known to have reported, the oldest first. */
+  /** Closed windows without a confirmed report, the oldest first. */
   get unreported (): readonly UsageWindow[] {
     return this._unreported
   }
@@ -51,7 +51,7 @@
     this._unreported = unreported
   }
 
-  /** A window that was closed before stays as it was. */
+  /** Closes a window; one that is already closed stays unchanged. */
   private _close (window: UsageWindow): void {
     if (this.nextWindowId !== undefined && window.windowId < this.nextWindowId) return
     this.nextWindowId = window.windowId + 1
--- a/src/duties/usageReporting.ts
+++ b/src/duties/usageReporting.ts
@@ -1,7 +1,8 @@
 /**
- * Reports the use of each window while this host leads: closes windows in the
- * replicated log once hosts have told all of them, or their time is half gone,
- * and sends what is closed until the infrastructure has it.
+ * Reports the usage of each window while this host leads: closes a window in the
+ * replicated log once all hosts have reported their counts or half of the time
+ * until its due date has passed, and sends closed windows until the infrastructure
+ * has accepted them.
  */
 import { sleepUntil, type Clock } from '../utils/clock.js'
 import type { Logger } from '../utils/logger.js'
@@ -22,9 +23,9 @@
 const CALL_TIMEOUT_MS = 1_500
 const RETRY_PAUSE_MS = 300
 const MAX_RETRY_PAUSE_MS = 2_000
-/** Share of the time that a report has, from the end of its window, after which hosts that have not told all are not waited for. */
+/** Share of the time between the end of a window and its due date after which missing counts of hosts are no longer waited for. */
 const WAIT_LIMIT_SHARE = 0.5
-/** After a long time without a leader, windows that nobody asks for any more are left out. */
+/** After a long time without a leader, older windows, which nobody needs any more, are skipped. */
 const MAX_BACKLOG_COUNT = 720
 
 export interface UsageReportingOptions {
@@ -38,13 +39,13 @@
   /** Name of this host. */
   holder: string
   windowMs: number
-  /** After the end of a window, its report is due. */
+  /** Time after the end of a window at which its report is due. */
   lateMs: number
-  /** True time. */
+  /** The time of day of the fleet. */
   wallMs: () => number
-  /** Entry hosts that are heard at the moment. */
+  /** Ids of the entry hosts that are connected now. */
   hostIds: () => string[]
-  /** There are client accounts whose use is to be reported. */
+  /** Whether there are client accounts whose usage is to be reported. */
   hasAccounts: () => boolean
   commit: (command: UsageCommand, progress: Progress) => Promise<boolean>
 }
@@ -58,7 +59,7 @@
     this._options = options
   }
 
-  /** For as long as this host leads. */
+  /** Runs until the scope closes, which is as long as this host leads. */
   async run (scope: Scope): Promise<void> {
     const { clock } = this._options
     for (;;) {
@@ -115,7 +116,7 @@
     if (await this._commit({ kind: UsageCommandKind.Reported, windowId: window.windowId }, scope)) this._logReported(window, outcome)
   }
 
-  /** Longer after each try: what hinders it lasts for seconds. */
+  /** Exponential back-off: the usual causes of a failed call last for seconds. */
   private _backOff (): void {
     this._retryAtMs = this._options.clock.nowMs() + Math.min(MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS * 2 ** this._triesCount)
     this._triesCount++
@@ -140,7 +141,7 @@
   }
 }
 
-/** Sending the same again would change nothing. */
+/** Whether sending the same call again would change nothing. */
 function isFinal (outcome: DutyOutcome): boolean {
   switch (outcome.kind) {
     case 'done':
--- a/src/duties/usageTally.ts
+++ b/src/duties/usageTally.ts
@@ -1,17 +1,17 @@
 /**
- * The use that hosts have told this control host of, by their starts. Every
- * control host is told the same, so whoever leads next knows it too.
+ * The usage that hosts have reported to this control host, by incarnation of the
+ * host. Hosts report to every control host, so the next leader has the counts too.
  */
 import type { UsageReport } from '../protocol/usage.js'
 
 interface ReportedUsage {
   settledBefore: number
-  /** By window, then by client account. */
+  /** Counts by window, then by client account. */
   windows: Map<number, Record<string, number>>
 }
 
 export class UsageTally {
-  /** By host, then by the start of its process. */
+  /** By host, then by incarnation. */
   private readonly _reported = new Map<string, Map<string, ReportedUsage>>()
   private _discardedBefore = Number.NEGATIVE_INFINITY
 
@@ -22,13 +22,13 @@
     for (const { windowId, counts } of windows) {
       if (windowId >= this._discardedBefore) reported.windows.set(windowId, counts)
     }
-    // The start that was heard last is the one that runs.
+    // Reinserted to be last: the incarnation that reported last is the running one.
     starts.delete(incarnation)
     starts.set(incarnation, reported)
     this._reported.set(hostId, starts)
   }
 
-  /** Whether none of these hosts will tell more of a window. */
+  /** Whether none of these hosts will report further counts of a window. */
   isSettled (windowId: number, hostIds: readonly string[]): boolean {
     return hostIds.every(hostId => {
       const latest = [...this._reported.get(hostId)?.values() ?? []].at(-1)
@@ -36,7 +36,7 @@
     })
   }
 
-  /** Requests that began in a window, by client account, as far as hosts have told. */
+  /** Requests started in a window, by client account, as reported so far. */
   countsOf (windowId: number): Record<string, number> {
     const sums = new Map<string, number>()
     for (const starts of this._reported.values()) {
@@ -47,7 +47,7 @@
     return Object.fromEntries(sums)
   }
 
-  /** Windows before this one are closed: what is told of them comes late. */
+  /** Drops the windows before this one, which are closed; later reports of them are ignored. */
   forgetBefore (windowId: number): void {
     this._discardedBefore = windowId
     for (const [hostId, starts] of this._reported) {
--- a/src/duties/usageWindows.ts
+++ b/src/duties/usageWindows.ts
@@ -1,10 +1,10 @@
 /**
- * Windows of time in which use is counted. They are numbered from the start of
- * 1970 and are the same for all hosts, whatever their clocks say.
+ * Time windows in which usage is counted. They are numbered from the start of 1970
+ * and are the same for all hosts, regardless of their clocks.
  */
 export interface UsageWindow {
   windowId: number
-  /** Requests that began, by client account. */
+  /** Number of started requests by client account. */
   counts: Record<string, number>
 }
 
--- a/src/endpoints/endpointClient.ts
+++ b/src/endpoints/endpointClient.ts
@@ -1,12 +1,12 @@
 /**
- * What the product asks of endpoints, whatever they speak. An adapter
- * implements it; every outcome says truly whether the endpoint ran the call.
+ * The protocol-independent client interface to endpoints. An adapter implements
+ * it; every outcome must state reliably whether the endpoint ran the call.
  */
 import type { FleetEndpoint } from '../protocol/fleet.js'
 import type { NamedWeights } from '../protocol/routingCommands.js'
 import type { Scope } from '../utils/scope.js'
 
-/** Requests running and waiting at an endpoint, as it said itself. */
+/** Requests running and waiting at an endpoint, as reported by the endpoint. */
 export interface ReportedLoad {
   runningCount: number
   waitingCount: number
@@ -16,43 +16,43 @@
 export interface EndpointRequest {
   endpoint: FleetEndpoint
   method: string
-  /** With its query, as the caller sent it. */
+  /** Path with the query string, as the caller sent it. */
   path: string
   /** The host that the caller addressed. */
   host: string
-  /** Names and values in turn, without those that concern one connection only. */
+  /** Names and values alternating, without hop-by-hop headers. */
   headers: string[]
   body: Uint8Array
   attemptId: string
-  /** The client account in whose name it runs; undefined for none. */
+  /** The client account that the request runs for; undefined for none. */
   account?: string | undefined
-  /** Instant until which an answer is of use; the endpoint is told what remains. */
+  /** Time until which an answer is of use; the endpoint is sent the remaining time. */
   deadlineMs: number
 }
 
 export type EndpointOutcome =
-  /** A whole answer that belongs to the request. */
+  /** A complete answer that belongs to the request. */
   | { kind: 'answered', status: number, headers: string[], body: Uint8Array, receipt: string | undefined, load: ReportedLoad | undefined }
-  /** The endpoint said that it did not run the request. */
+  /** The endpoint stated that it did not run the request. */
   | { kind: 'notExecuted', status: number, load: ReportedLoad | undefined }
   /** Another endpoint has taken over the address. Nothing ran. */
   | { kind: 'misdirected' }
   | Unreached
   | Broken
 
-/** No connection came about. Nothing ran. */
+/** No connection was established. Nothing ran. */
 export interface Unreached {
   kind: 'unreached'
   reason: string
-  /** The address took no connection: no endpoint listens there. */
+  /** The connection was refused: no endpoint listens at the address. */
   isRefused?: boolean
 }
 
-/** No usable answer; it may have run. */
+/** No usable answer; the request may have run. */
 export interface Broken {
   kind: 'broken'
   reason: string
-  /** The other side closed the connection or reset it, rather than answering badly. */
+  /** The endpoint closed or reset the connection, as opposed to sending a bad answer. */
   isConnectionLost?: boolean
 }
 
@@ -61,36 +61,36 @@
   Yes = 'yes',
   /** The connection was refused. */
   No = 'no',
-  /** Nobody said either. */
+  /** Neither accepted nor refused in time. */
   Unknown = 'unknown'
 }
 
-/** Head of a streamed answer, without what concerns one connection only. */
+/** Head of a streamed answer, without hop-by-hop headers. */
 export interface StreamHead {
   status: number
   headers: string[]
 }
 
-/** What a streamed answer is told to, as it comes. */
+/** Receives a streamed answer as it arrives. */
 export interface StreamListener {
   onHead: (head: StreamHead) => void
-  /** Resolves when more may come; with a reason when the stream must not go on. */
+  /** Resolves when more data may follow (backpressure); resolves with a reason when the stream must be aborted. */
   onData: (chunk: Uint8Array) => Promise<string | undefined>
 }
 
 export type StreamOutcome =
-  /** The whole stream was passed on. */
+  /** The complete stream was passed on. */
   | { kind: 'ended' }
-  /** No stream: an answer of another kind, whole. */
+  /** Not a stream: a complete answer of another kind, or a failure. */
   | EndpointOutcome
 
 export interface StreamedRequest extends EndpointRequest {
-  /** Id of the last event that is held already; the endpoint goes on behind it. */
+  /** Id of the last event received so far; the endpoint continues after it. */
   afterEventId: number | undefined
 }
 
 export interface ItemRequest extends Omit<EndpointRequest, 'method'> {
-  /** Id of the last event that is held already; the endpoint goes on behind it. */
+  /** Id of the last event received so far; the endpoint continues after it. */
   afterEventId: number | undefined
 }
 
@@ -98,36 +98,36 @@
 export interface ItemEvent {
   id: number
   data: string
-  /** Version of the weights that made it. */
+  /** Version of the weights that generated the event. */
   version: number
 }
 
 export type ItemOutcome =
-  /** The output is whole. */
+  /** The output is complete. */
   | { kind: 'finished' }
   | { kind: 'notExecuted', status: number }
   | { kind: 'misdirected' }
   | Unreached
-  /** The endpoint tried and failed. */
+  /** The endpoint ran the item and answered with an error. */
   | { kind: 'failed', status: number }
-  /** The item can never be done. */
+  /** The item can never be completed. */
   | { kind: 'impossible' }
-  /** The stream broke off; the events that came before count. */
+  /** The stream broke; the events received before remain valid. */
   | Broken
 
 export interface EndpointReport {
   isBusy: boolean
-  /** Orders that the endpoint has taken since its start. */
+  /** Load orders that the endpoint has accepted since its start. */
   ordersCount: number
   weights: NamedWeights[]
 }
 
 export enum LoadMode {
-  /** Runs end before the new version loads. */
+  /** Running items finish before the new version is loaded. */
   Block = 'block',
-  /** Runs are cut off. */
+  /** Running items are stopped. */
   Truncate = 'truncate',
-  /** Runs go on under the new version. */
+  /** Running items continue with the new version. */
   Retain = 'retain'
 }
 
@@ -135,9 +135,9 @@
   model: string
   version: number
   mode: LoadMode
-  /** The host that gives orders. */
+  /** The host that sends the orders. */
   holder: string
-  /** Higher with every host that takes over the giving of orders. */
+  /** Increases with every host that takes over sending orders. */
   fencingNumber: number
   expectedOrdersCount: number | undefined
 }
@@ -145,26 +145,26 @@
 export type OrderOutcome =
   | { kind: 'underWay' }
   | { kind: 'alreadyHolds' }
-  /** Another order is in progress, or the count of orders differs. */
+  /** Another order is in progress, or the number of accepted orders differs from the expected one. */
   | { kind: 'conflict' }
   | { kind: 'staleFence' }
   | { kind: 'refused', status: number }
   | { kind: 'misdirected' }
-  /** It may have been taken, or may yet be. */
+  /** The order may have been accepted, or may be accepted later. */
   | { kind: 'unknown', reason: string }
 
 export interface EndpointClient {
-  /** Sends a request and reads the whole answer. */
+  /** Sends a request and reads the complete answer. */
   call: (request: EndpointRequest, scope: Scope) => Promise<EndpointOutcome>
-  /** Sends a request and passes its answer on as it comes, if that is a stream. */
+  /** Sends a request and, if the answer is a stream, passes it on as it arrives. */
   stream: (request: StreamedRequest, scope: Scope, listener: StreamListener) => Promise<StreamOutcome>
-  /** Runs a rollout item; events come as the endpoint makes them. */
+  /** Runs a rollout item; calls `onEvent` as the endpoint generates events. */
   runItem: (request: ItemRequest, scope: Scope, onEvent: (event: ItemEvent) => void) => Promise<ItemOutcome>
-  /** The endpoint's own word on its state; undefined when it does not answer in time. */
+  /** Queries the state of the endpoint; undefined when it does not answer in time. */
   report: (endpoint: FleetEndpoint, deadlineMs: number, scope: Scope) => Promise<EndpointReport | undefined>
-  /** Whether an endpoint takes connections; nothing is asked of it. */
+  /** Whether the endpoint accepts connections; connects only, without sending a request. */
   isListening: (endpoint: FleetEndpoint, deadlineMs: number, scope: Scope) => Promise<Listening>
   orderLoad: (endpoint: FleetEndpoint, order: LoadOrder, deadlineMs: number, scope: Scope) => Promise<OrderOutcome>
-  /** Closes connections to endpoints that are not among these any more. */
+  /** Closes connections to all endpoints that are not in the set. */
   keepOnly: (endpointIds: ReadonlySet<string>) => void
 }
--- a/src/endpoints/endpointEvents.ts
+++ b/src/endpoints/endpointEvents.ts
@@ -1,5 +1,5 @@
 /**
- * Log events of what this host makes of endpoints: 2660 to 2679.
+ * Log events of endpoint health as this host judges it: 2660 to 2679.
  */
 import { LogLevel, type EventCatalogue } from '../utils/logger.js'
 
@@ -9,6 +9,6 @@
 }
 
 export const endpointEventCatalogue: EventCatalogue = {
-  [EndpointEvent.Ejected]: { level: LogLevel.Warn, text: 'An endpoint failed and gets no work from this host for a while.', advice: 'Read the reason. One endpoint: look at it, or at the way to it. All of a service at one moment: look at this host and its network.' },
-  [EndpointEvent.Reinstated]: { level: LogLevel.Info, text: 'An endpoint that was left out has done its work again.', advice: 'None.' }
+  [EndpointEvent.Ejected]: { level: LogLevel.Warn, text: 'An endpoint failed and is ejected: this host sends it no requests for a limited time.', advice: 'Check the reason. If it is a single endpoint, check the endpoint and the network path to it. If it is all endpoints of a service at once, check this host and its network.' },
+  [EndpointEvent.Reinstated]: { level: LogLevel.Info, text: 'An ejected endpoint has recovered and is reinstated.', advice: 'None.' }
 }
--- a/src/endpoints/endpointHealth.ts
+++ b/src/endpoints/endpointHealth.ts
@@ -1,43 +1,42 @@
 /**
- * What this host knows of one endpoint from its own calls: how many run, how
- * long they take, what load was reported, and whether it is worth trying.
+ * Health of one endpoint as observed by the calls of this host: how many run,
+ * how long they take, the load that the endpoint reported, and whether it is ejected.
  */
 import type { Clock } from '../utils/clock.js'
 import type { ReportedLoad } from './endpointClient.js'
 import { CircuitBreaker } from './suspicion.js'
 
-/** A refusal for want of room is soon over. */
+/** Pause after a refusal for lack of a free slot, which lasts only briefly. */
 const FULL_PAUSE_MS = 40
-/** Whether anything listens again is not asked more often: an endpoint that ended is back after a second or more. */
+/** Minimum interval between connection attempts to an address that refuses them: a terminated endpoint takes a second or more to come back. */
 const REFUSED_PAUSE_MS = 50
-/** One error may be the request's own. */
+/** A single error may be caused by the request itself. */
 const EJECTING_ERRORS_COUNT = 2
 /** Weight of a new duration in the running mean. */
 const MEAN_WEIGHT = 0.2
-/** A mean that was not renewed for so long says nothing of the endpoint any more. */
+/** A mean without a new duration for this long is out of date. */
 const MEAN_LIFETIME_MS = 5_000
-/** Reported load is out of date after about the time of one request. */
+/** Reported load is out of date after about the duration of one request. */
 const LOAD_LIFETIME_MS = 150
 
-/** Why an endpoint is left out. */
+/** Why an endpoint is ejected. */
 export enum FailureReason {
-  /** No connection came about. */
+  /** No connection was established. */
   Unreached = 'unreached',
-  /** What ran there broke off, or no event came. */
+  /** A running request broke, or sent no event. */
   Broken = 'broken',
-  /** It did not tell its state in time. */
+  /** It did not report its state in time. */
   NoReport = 'no_report',
-  /** It answers requests with errors, or begins none, that nothing else speaks against. */
+  /** It answers requests with errors, or does not start them, while the requests themselves are not to blame. */
   Failing = 'failing'
 }
 
-/** What surrounds the health of one endpoint. */
 export interface EndpointHealthOptions {
   clock: Clock
-  /** Told of what is decided. */
+  /** Called when the endpoint is ejected. */
   onEjected?: (reason: FailureReason, forMs: number, failuresCount: number) => void
   onReinstated?: () => void
-  /** Whether so many endpoints of the service are left out that the fault is hardly theirs. */
+  /** Whether so many endpoints of the service are ejected that the cause is probably not at the endpoints. */
   isWidespread?: () => boolean
 }
 
@@ -45,11 +44,11 @@
   runningCount = 0
   private readonly _options: EndpointHealthOptions
   private readonly _clock: Clock
-  /** It is not reached, or what runs there breaks off. */
+  /** Counts failed connections and broken requests. */
   private readonly _connectionBreaker: CircuitBreaker
-  /** It is reached and does not do what it is given. */
+  /** Counts requests that the endpoint received and failed. */
   private readonly _errorBreaker: CircuitBreaker
-  /** Requests that it failed, since it last began one well. */
+  /** Requests that the endpoint failed since it last accepted one. */
   private readonly _requestErrors = new Set<string>()
   private _fullUntilMs = Number.NEGATIVE_INFINITY
   private _refusedUntilMs = Number.NEGATIVE_INFINITY
@@ -65,28 +64,28 @@
     this._errorBreaker = new CircuitBreaker(options.clock)
   }
 
-  /** It gets no work: it failed a moment ago, or repeatedly while others did not. */
+  /** It gets no requests: it has just failed, or it failed repeatedly while other endpoints did not. */
   get isSuspect (): boolean {
     if (!this.isBreakerOpen) return false
     return this._breakers().some(({ isTripped, isPastFirstEjection }) => isTripped && !isPastFirstEjection) || this._options.isWidespread?.() !== true
   }
 
-  /** By its own failures alone, whatever others do. */
+  /** Whether its own failures would eject it, regardless of the other endpoints of the service. */
   get isBreakerOpen (): boolean {
     return this._connectionBreaker.isTripped || this._errorBreaker.isTripped
   }
 
-  /** It failed, and has not shown since that this is over: one request at a time tries it. */
+  /** The ejection is over but the endpoint has not yet proven healthy: one request at a time probes it (half-open circuit breaker). */
   get isOnTrial (): boolean {
     return this._connectionBreaker.failuresCount + this._errorBreaker.failuresCount > 0 && !this.isSuspect
   }
 
-  /** It was left out for failing what it was given, and has not done enough since. */
+  /** It was ejected for failing requests and has not accepted enough of them since. */
   get isFailing (): boolean {
     return this._errorBreaker.failuresCount > 0
   }
 
-  /** Whether a request may begin there, as far as failures go. */
+  /** Whether its failures allow another request to be started there. */
   get isOpen (): boolean {
     return !this._connectionBreaker.isProbeRunning && !this._errorBreaker.isProbeRunning && !this.isSuspect
   }
@@ -104,31 +103,31 @@
     return Math.max(this._connectionBreaker.openUntilMs, this._errorBreaker.openUntilMs)
   }
 
-  /** Mean duration of recent calls; undefined when there were none lately. */
+  /** Mean duration of recent calls; undefined when there were none recently. */
   get meanMs (): number | undefined {
     return this._clock.nowMs() - this._meanAtMs < MEAN_LIFETIME_MS ? this._meanMs : undefined
   }
 
-  /** Time until there is room, if it said lately that there was none: what waits there goes first, a slot after the other. */
+  /** Expected time until a slot is free, if the endpoint reported recently that it is full: the requests that wait there are served first, spread over its slots. */
   expectedWaitMs (typicalMs: number): number {
     if (!this.isFull) return 0
     const waitingCount = this._load?.waitingCount ?? 0
     return typicalMs * (1 + waitingCount) / Math.max(1, this._load?.slotsCount ?? 1)
   }
 
-  /** Age of the load that the endpoint told last. */
+  /** Age of the load that the endpoint reported last. */
   get loadAgeMs (): number {
     return this._clock.nowMs() - this._loadAtMs
   }
 
-  /** Requests at the endpoint as far as known: its own word, or ours if that is more. */
+  /** Estimated requests at the endpoint: the reported number, or the number sent by this host if that is higher. */
   get busyCount (): number {
     const isFresh = this._clock.nowMs() - this._loadAtMs < LOAD_LIFETIME_MS
     const reportedCount = isFresh && this._load ? this._load.runningCount + this._load.waitingCount : 0
     return Math.max(this.runningCount, reportedCount)
   }
 
-  /** It answered a request whole, and without an error. */
+  /** Records a complete answer without an error. */
   succeeded (durationMs: number, load: ReportedLoad | undefined): void {
     this.worked()
     this.accepted()
@@ -136,22 +135,23 @@
     this.recordLoad(load)
   }
 
-  /** Something came from it: it is reached, and runs what it was given. */
+  /** Records any data received from the endpoint: it is reachable and runs requests. */
   worked (): void {
     if (this._connectionBreaker.reset()) this._options.onReinstated?.()
   }
 
-  /** It has begun to do what it was given, or has done it. */
+  /** Records that the endpoint has started or completed a request without an error. */
   accepted (): void {
     this._requestErrors.clear()
     if (this._errorBreaker.recordSuccess()) this._options.onReinstated?.()
   }
 
   /**
-   * It did not do what it was given at an instant: an error of its own, or no
-   * beginning at all. A first one says nothing; several of different requests in
-   * a row do.
-   * @param requestKey what it was given, whatever the try
+   * Records that the endpoint failed a request with an error of its own, or did
+   * not start it. One failure does not eject the endpoint; failures of several
+   * different requests in a row do.
+   * @param requestKey identifies the request, the same for all of its tries
+   * @param startedAtMs when the request was sent to the endpoint
    */
   failedRequest (requestKey: string, startedAtMs: number): void {
     if (startedAtMs <= this._errorBreaker.lastFailureAtMs) return
@@ -159,25 +159,25 @@
     this._evaluateErrors(startedAtMs)
   }
 
-  /** Another endpoint did what this one had failed: that error counts twice, unless something went well here since. */
+  /** Records that another endpoint served a request which this one had failed: that error counts twice, unless this endpoint has accepted a request since. */
   servedElsewhere (requestKey: string): void {
     if (this._errorBreaker.isTripped) return
-    this._requestErrors.add(`${requestKey}, done elsewhere`)
+    this._requestErrors.add(`${requestKey}, served elsewhere`)
     this._evaluateErrors(this._clock.nowMs())
   }
 
-  /** Others failed the same request: it speaks against itself. */
+  /** Records that another endpoint failed the same request as well: the request itself is at fault, and its error no longer counts. */
   failedElsewhere (requestKey: string): void {
     this._requestErrors.delete(requestKey)
   }
 
-  /** A request or run begins there. */
+  /** Records that a request or run was started at the endpoint. */
   began (): void {
     this._connectionBreaker.began()
     this._errorBreaker.began()
   }
 
-  /** A call took at least so long, whatever came of it. */
+  /** Adds a call duration to the mean, whatever the outcome; a lower bound for calls that were aborted. */
   recordDuration (durationMs: number): void {
     this._meanMs = this.meanMs === undefined ? durationMs : this.meanMs + MEAN_WEIGHT * (durationMs - this.meanMs)
     this._meanAtMs = this._clock.nowMs()
@@ -189,19 +189,19 @@
     this._loadAtMs = this._clock.nowMs()
   }
 
-  /** Something that began there at an instant brought nothing. */
+  /** Records that a call started at `startedAtMs` failed to connect, broke or timed out. */
   failed (reason: FailureReason, startedAtMs: number): void {
     const forMs = this._connectionBreaker.recordFailure(startedAtMs)
     if (forMs !== undefined) this._options.onEjected?.(reason, forMs, this._connectionBreaker.failuresCount)
   }
 
-  /** Its address took no connection. */
+  /** Records that its address refused a connection. */
   refused (startedAtMs: number): void {
     this.failed(FailureReason.Unreached, startedAtMs)
     this._refusedUntilMs = this._clock.nowMs() + REFUSED_PAUSE_MS
   }
 
-  /** It refused for want of room. */
+  /** Records that it rejected a request because no slot was free. */
   wasFull (load: ReportedLoad | undefined): void {
     this._fullUntilMs = this._clock.nowMs() + FULL_PAUSE_MS
     this.recordLoad(load)
--- a/src/endpoints/endpointPool.ts
+++ b/src/endpoints/endpointPool.ts
@@ -1,7 +1,7 @@
 /**
- * The endpoints of all services with their health, and the choice among them:
- * the one where a request should be done first, by the requests there and the
- * time that its recent ones took.
+ * Holds the health of the endpoints of all services and chooses among them: the
+ * endpoint that is expected to finish a request first, based on the requests
+ * that are there and the duration of recent ones.
  */
 import type { FleetEndpoint } from '../protocol/fleet.js'
 import type { FleetView } from '../fleet/fleetView.js'
@@ -13,16 +13,16 @@
 import { EndpointEvent } from './endpointEvents.js'
 import { EndpointHealth, type EndpointHealthOptions } from './endpointHealth.js'
 
-/** A request to another data centre costs its transfer; below this gain it stays. */
+/** Factor on the expected duration at an endpoint in another data centre: a remote endpoint has to gain more than the cost of the transfer. */
 const REMOTE_PENALTY_FACTOR = 1.1
-/** Stands in for the duration of calls to an endpoint that had none lately, in milliseconds. */
+/** Assumed mean duration for an endpoint without recent calls. */
 const DEFAULT_MEAN_MS = 30
-/** Answers of a service that are remembered: enough for a quantile of 0.95, few enough to follow a change. */
+/** Durations kept per service: enough for the 0.95 quantile, few enough to follow changes. */
 const MAX_DURATIONS_COUNT = 100
-/** Breaks ties, so that hosts do not all choose the same endpoint. */
+/** Random share added to the expected duration, so that hosts do not all choose the same endpoint. */
 const MAX_JITTER_SHARE = 0.1
 
-/** With more of a service's endpoints accused, the fault is hardly theirs: they are tried instead of being left out for long. */
+/** If a larger share of a service's endpoints fails, the cause is probably not at the endpoints: they are tried again instead of being ejected for long. */
 const MAX_EJECTED_SHARE = 0.5
 
 const NO_ENDPOINT_IDS: ReadonlySet<string> = new Set()
@@ -39,7 +39,7 @@
 export class EndpointPool {
   private readonly _options: EndpointPoolOptions
   private readonly _health = new Map<string, EndpointHealth>()
-  /** Durations of recent answers by service, the oldest first. */
+  /** Durations of recent answers per service, the oldest first. */
   private readonly _durations = new Map<string, number[]>()
 
   constructor (options: EndpointPoolOptions) {
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Whether most endpoints of a service are accused at this moment. */
+  /** Whether most endpoints of a service have an open circuit breaker now. */
   private _isWidespread (service: string | undefined): boolean {
     if (service === undefined) return false
     const endpoints = this.ofService(service)
@@ -83,9 +83,9 @@
   }
 
   /**
-   * The endpoint to try next.
-   * @param tried endpoints that were tried already; chosen only if there is no other
-   * @param risky endpoints that may end soon; chosen only if there is no other that was not tried
+   * Chooses the endpoint to try next.
+   * @param tried endpoints that were already tried; chosen only if there is no other
+   * @param risky endpoints that may terminate soon; chosen only if no other untried one is left
    */
   choose (service: string, tried: ReadonlySet<string>, risky: ReadonlySet<string> = NO_ENDPOINT_IDS): FleetEndpoint | undefined {
     const all = this.ofService(service).filter(({ endpointId }) => !this.health(endpointId).isFull)
@@ -98,17 +98,17 @@
     return this._lowest(listening.length > 0 ? listening : candidates, ({ endpointId }) => this.health(endpointId).ejectedUntilMs)
   }
 
-  /** Slots of the service's endpoints that did not say lately that they are full. */
+  /** Slots of the service's endpoints that did not report recently that they are full. */
   availableSlotsCount (service: string): number {
     return this.ofService(service).reduce((sum, { endpointId, slotsCount }) => sum + (this.health(endpointId).isFull ? 0 : slotsCount), 0)
   }
 
-  /** Whether it is too soon to connect to an endpoint again, which has just refused that. */
+  /** Whether the endpoint has just refused a connection, so that it is too early for another attempt. */
   isRefusing ({ endpointId }: FleetEndpoint): boolean {
     return this.health(endpointId).isRefusing
   }
 
-  /** What a service can do for a request now; undefined when no endpoint of it is known. */
+  /** Estimates how soon the service can serve a request; undefined when none of its endpoints is known. */
   forecast (service: string): { waitMs: number, typicalMs: number } | undefined {
     const endpoints = this.ofService(service)
     if (endpoints.length === 0) return undefined
@@ -116,7 +116,7 @@
     return { waitMs: Math.min(...endpoints.map(({ endpointId }) => this.health(endpointId).expectedWaitMs(typicalMs))), typicalMs }
   }
 
-  /** An endpoint of the service answered after this time. */
+  /** Records how long an endpoint of the service took to answer. */
   recordDuration (service: string, durationMs: number): void {
     const durations = this._durations.get(service) ?? []
     durations.push(durationMs)
@@ -135,7 +135,7 @@
     return [...(this._durations.get(service) ?? [])].sort((left, right) => left - right)
   }
 
-  /** Forgets endpoints that are known no more. */
+  /** Removes the health of endpoints that the fleet view no longer contains. */
   prune (): void {
     for (const [endpointId, health] of this._health) {
       if (health.runningCount === 0 && !this._options.view.endpoint(endpointId)) this._health.delete(endpointId)
--- a/src/endpoints/failureAccount.ts
+++ b/src/endpoints/failureAccount.ts
@@ -1,32 +1,32 @@
 /**
- * What one request has met at the endpoints that failed it. An error may be the
- * endpoint's (everything fails there) or the request's own (it fails anywhere):
- * the first endpoint is blamed, excused as soon as another one fails the same
- * request, and accused if another one does it.
+ * Attributes the failures of one request to its endpoints or to itself. An error
+ * may be caused by the endpoint (all requests fail there) or by the request (it
+ * fails everywhere): the first endpoint that fails is suspected, cleared once
+ * another one fails the same request, and charged once more if another one serves it.
  */
 import type { EndpointHealth } from './endpointHealth.js'
 
-/** The only status by which an endpoint says that it tried the request and failed; a 504 says that time was up. */
+/** The only status that means the endpoint ran the request and failed; a 504 means that the deadline passed. */
 const FAILED_STATUS = 500
 
 export class FailureAccount {
-  /** What the request is known by, whichever try it is; worked out when it fails. */
+  /** Returns the key that identifies the request in all of its tries; computed only when a try fails. */
   private readonly _requestKeyOf: () => string
   private readonly _failedAt = new Set<string>()
   private _failuresCount = 0
-  /** The endpoint that is blamed, while nothing speaks for it. */
+  /** The endpoint that failed first, until another endpoint fails or serves the request. */
   private _suspected: EndpointHealth | undefined
 
   constructor (requestKeyOf: () => string) {
     this._requestKeyOf = requestKeyOf
   }
 
-  /** Times that an endpoint tried it and failed. */
+  /** Number of answers by which an endpoint stated that it ran the request and failed. */
   get failuresCount (): number {
     return this._failuresCount
   }
 
-  /** Different endpoints that failed it. */
+  /** Number of different endpoints that failed the request. */
   get endpointsCount (): number {
     return this._failedAt.size
   }
@@ -35,13 +35,13 @@
     return this._failedAt.has(endpointId)
   }
 
-  /** An endpoint answered the request, which was given to it at an instant, with an error. */
+  /** Records that an endpoint answered the request, which was sent to it at `startedAtMs`, with an error. */
   note (endpointId: string, health: EndpointHealth, startedAtMs: number, status: number): void {
     if (status === FAILED_STATUS) this._failuresCount++
     this.noteUnbegun(endpointId, health, startedAtMs)
   }
 
-  /** An endpoint took the request and did not begin it: no answered failure, and the same to whoever chooses an endpoint. */
+  /** Records that an endpoint accepted the request and did not start it: not an error answer, but it counts the same for the choice of an endpoint. */
   noteUnbegun (endpointId: string, health: EndpointHealth, startedAtMs: number): void {
     const requestKey = this._requestKeyOf()
     const isFirst = this._failedAt.size === 0
@@ -56,7 +56,7 @@
     }
   }
 
-  /** An endpoint has begun well with the request, or done it. */
+  /** Records that an endpoint has started the request without an error, or has completed it. */
   settled (endpointId: string): void {
     if (!this._suspected) return
     const isOther = !this._failedAt.has(endpointId)
--- a/src/endpoints/suspicion.ts
+++ b/src/endpoints/suspicion.ts
@@ -1,17 +1,17 @@
 /**
- * One ground for leaving an endpoint out. What was under way when it was noted
- * ends with the same disturbance and says nothing new, however many requests
- * that are: only what began later counts as a further failure. It lasts for a
- * moment, doubles with each further failure up to a bound, and then a single
- * request tries whether it is over (a circuit breaker that is half open).
+ * Circuit breaker for one kind of failure of an endpoint. Requests that were in
+ * flight when a failure was recorded fail by the same disturbance, however many
+ * there are: only a request that was started later counts as a further failure. The
+ * ejection is short at first and doubles with each further failure up to a bound;
+ * after it, a single request probes the endpoint (half-open).
  */
 import type { Clock } from '../utils/clock.js'
 
-/** Long enough for connections that were reset together to be made anew. */
+/** Long enough for connections that were reset together to be re-established. */
 export const FIRST_EJECTION_MS = 100
-/** An endpoint that is well again gets no work for so long at most; an endpoint that is not costs one request its time this often. */
+/** Longest time that a recovered endpoint gets no requests, and the interval at which one that still fails costs a request its time. */
 export const MAX_EJECTION_MS = 1_600
-/** A trial has shown by then what comes of it, or somebody else may try. */
+/** A probe without an outcome after this time no longer blocks the next one. */
 export const PROBE_TIMEOUT_MS = 1_000
 
 export class CircuitBreaker {
@@ -25,7 +25,7 @@
     this._clock = clock
   }
 
-  /** Failures in a row that each said something new. */
+  /** Consecutive failures, counting those of one disturbance once. */
   get failuresCount (): number {
     return this._failuresCount
   }
@@ -34,34 +34,34 @@
     return this._openUntilMs
   }
 
-  /** When the last failure that said something new was noted. */
+  /** When the last counted failure was recorded. */
   get lastFailureAtMs (): number {
     return this._lastFailureAtMs
   }
 
-  /** No work at all. */
+  /** The endpoint gets no requests (the breaker is open). */
   get isTripped (): boolean {
     return this._failuresCount > 0 && this._clock.nowMs() < this._openUntilMs
   }
 
-  /** The first moment is over: all that could be shared with other endpoints has had its time. */
+  /** The minimum ejection has passed, so that a disturbance shared with other endpoints has had time to end. */
   get isPastFirstEjection (): boolean {
     return this._clock.nowMs() >= this._lastFailureAtMs + FIRST_EJECTION_MS
   }
 
-  /** Its time is over, and nothing has shown yet that its ground is. */
+  /** The ejection is over, and no success has been recorded since. */
   get isHalfOpen (): boolean {
     return this._failuresCount > 0 && !this.isTripped
   }
 
-  /** A request tries it at the moment. */
+  /** A request is probing the endpoint now. */
   get isProbeRunning (): boolean {
     return this._failuresCount > 0 && this._clock.nowMs() < this._probeUntilMs
   }
 
   /**
-   * Something that began at an instant has failed.
-   * @returns for how long that leaves the endpoint out; undefined when it says nothing new
+   * Records the failure of a request that was started at `startedAtMs`.
+   * @returns how long the endpoint is ejected, in milliseconds; undefined when the failure belongs to a disturbance that is already counted
    */
   recordFailure (startedAtMs: number): number | undefined {
     if (startedAtMs <= this._lastFailureAtMs) return undefined
@@ -74,12 +74,12 @@
     return forMs
   }
 
-  /** Something begins at the endpoint. */
+  /** Records that a request was started at the endpoint. */
   began (): void {
     if (this.isHalfOpen) this._probeUntilMs = this._clock.nowMs() + PROBE_TIMEOUT_MS
   }
 
-  /** What it was left out for went well once: one failure is taken back; true when that was the last one. */
+  /** Records a success: takes back one failure; returns true when it was the last one. */
   recordSuccess (): boolean {
     if (this._failuresCount === 0) return false
     if (this._failuresCount === 1) return this.reset()
@@ -89,7 +89,7 @@
     return false
   }
 
-  /** The ground is gone; true when there was one. */
+  /** Clears all failures; returns true when there were any. */
   reset (): boolean {
     if (this._failuresCount === 0) return false
     this._failuresCount = 0
--- a/src/engineSupply/engineSupply.ts
+++ b/src/engineSupply/engineSupply.ts
@@ -1,6 +1,7 @@
 /**
- * Orders engines while this host leads the batch store: looks what each data
- * centre should have, notes a changed order in the replicated log, and sends it.
+ * Orders engines while this host leads the batch store: plans how many engines
+ * each data centre should have, records a changed order in the replicated log, and
+ * sends it to the infrastructure.
  */
 import { DutyEvent } from '../duties/dutyEvents.js'
 import type { DutyLease } from '../duties/dutyLease.js'
@@ -17,13 +18,13 @@
 
 const CHECK_INTERVAL_MS = 250
 const CALL_TIMEOUT_MS = 1_500
-/** Calls to the infrastructure are few, and each costs something. */
+/** Calls to the infrastructure are limited, and each has a cost. */
 const RETRY_PAUSE_MS = 1_000
-/** A data centre that has none to be had is asked again after this. */
+/** Pause before engines are ordered again in a data centre without capacity. */
 const OUT_OF_CAPACITY_PAUSE_MS = 5_000
-/** What was ordered is not given back sooner: engines that were lost come and go, and a start takes seconds. */
+/** Minimum time before an order is reduced: lost engines may come back and go again, and starting one takes seconds. */
 const MIN_HOLD_MS = 15_000
-/** Engines that did not come by so long after the time that a start takes are ordered once more. */
+/** Engines that are missing this long after their boot time are ordered again. */
 const OVERDUE_GRACE_MS = 3_000
 
 export interface EngineSupplyOptions {
@@ -36,21 +37,21 @@
   /** Name of this host. */
   holder: string
   services: () => readonly RoutingService[]
-  /** All known endpoints of a service, whether they take new work or not. */
+  /** All known endpoints of a service, whether they accept new work or not. */
   endpointsOf: (service: string) => readonly FleetEndpoint[]
   needOf: (service: RoutingService) => SupplyNeed
-  /** True once every leader to come knows that this host holds the duty. */
+  /** Commits that this host holds the duty; true once every future leader will know it. */
   claim: (scope: Scope) => Promise<boolean>
-  /** The same of an order. */
+  /** Commits an order; true once every future leader will know it. */
   note: (order: SupplyOrder, scope: Scope) => Promise<boolean>
 }
 
-/** What was sent for one kind of engine in one data centre. */
+/** The order sent last for one kind of engine in one data centre. */
 interface SentOrder {
   desiredCount: number
   sentAtMs: number
   isSettled: boolean
-  /** There were none to be had. */
+  /** The data centre had no engines available. */
   isOutOfCapacity: boolean
   notBeforeMs: number
 }
@@ -63,7 +64,7 @@
     this._options = options
   }
 
-  /** For as long as this host leads. */
+  /** Runs until the scope closes, which is as long as this host leads. */
   async run (scope: Scope): Promise<void> {
     const { clock } = this._options
     for (;;) {
@@ -107,7 +108,7 @@
     }
   }
 
-  /** An order is sent when it changes, has no clear answer, or brought fewer engines than it should. */
+  /** An order is sent when it changes, got no definite answer, or brought fewer engines than ordered. */
   private _isDue (order: SupplyOrder, bootMs: number): boolean {
     const { clock } = this._options
     const nowMs = clock.nowMs()
@@ -145,7 +146,7 @@
     return sent?.isOutOfCapacity === true && this._options.clock.nowMs() < sent.notBeforeMs
   }
 
-  /** Engines of a kind that take work. */
+  /** Number of engines of a kind that accept work. */
   private _countOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): number {
     return this._options.endpointsOf(service).filter(endpoint => (
       endpoint.dataCentre === dataCentre && (endpoint.isReclaimable ?? false) === isReclaimable && endpoint.lifecycle === EndpointLifecycle.Ready
--- a/src/engineSupply/supplyLedger.ts
+++ b/src/engineSupply/supplyLedger.ts
@@ -1,7 +1,8 @@
 /**
- * The part of the batch store's state that holds the orders for engines: who
- * holds the duty, and what was ordered of each kind in each data centre. An order
- * stands here before it is sent, so that a successor sends the same again.
+ * The part of the batch store's state that holds the orders for engines: which
+ * host holds the duty, and how many engines of each kind were ordered in each data
+ * centre. An order is recorded before it is sent, so that the next leader repeats it
+ * unchanged.
  */
 export interface SupplyOrder {
   service: string
@@ -16,11 +17,11 @@
 }
 
 export class SupplyLedger {
-  /** The host that claimed the duty last; undefined before the first. */
+  /** The host that claimed the duty last; undefined before the first claim. */
   holder: string | undefined
   private readonly _orders = new Map<string, SupplyOrder>()
 
-  /** The latest order of a kind of engine; undefined before the first. */
+  /** The number ordered last for a kind of engine; undefined before the first order. */
   orderOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): number | undefined {
     return this._orders.get(orderKeyOf({ service, dataCentre, isReclaimable }))?.desiredCount
   }
--- a/src/engineSupply/supplyPlan.ts
+++ b/src/engineSupply/supplyPlan.ts
@@ -1,29 +1,29 @@
 /**
- * How many engines a service should have in which data centre, and how many of
- * them may be reclaimable. Engines that are kept for good stay as they are: they
- * bear the steps alone. Reclaimable ones, which a data centre may take back all at
- * once, stand in for those that are missing, as far as the open work can use them,
- * spread so that the loss of one data centre's is the smallest share. Pure functions.
+ * Plans how many engines a service should have in each data centre, and how many
+ * of them are reclaimable. The number of permanent engines stays as ordered: they can
+ * carry the steps alone. Reclaimable engines, which a data centre may take back all at
+ * once, replace missing ones as far as the open work can use them, spread so that
+ * each data centre accounts for the smallest possible share. Pure functions.
  *
- * The pattern it answers: engines that crash, are reclaimed or leave in the
- * middle of a step. More engines than the leader of the batch store can read
- * events of are no help: it loses its leadership, and every run is begun again.
+ * It covers engines that crash, are reclaimed or leave in the middle of a step. The
+ * total is limited to what the leader of the batch store can read events of: with
+ * more engines it loses its leadership, and every run is started again.
  */
 import type { ServiceScaling } from '../protocol/routing.js'
 
-/** Engines of a service in one data centre, as they are now. */
+/** Current engines of a service in one data centre. */
 export interface DataCentreSupply {
   dataCentre: string
-  /** Engines kept for good that take work. */
+  /** Engines that are not reclaimable and accept work. */
   permanentCount: number
-  /** Engines kept for good that were ordered; undefined before the first order. */
+  /** Number of permanent engines ordered last; undefined before the first order. */
   orderedPermanentCount: number | undefined
-  /** There were no reclaimable ones to be had lately. */
+  /** Whether the data centre recently had no reclaimable engines available. */
   isOutOfCapacity: boolean
 }
 
 export interface SupplyNeed {
-  /** Items that the steps of all models ask for at once, twice over while two steps are open; undefined before a step was seen. */
+  /** Items that the steps of all models need at once, doubled while two steps are open; undefined until a step was seen. */
   itemsCount: number | undefined
   slotsCount: number
 }
@@ -34,14 +34,14 @@
   reclaimableCount: number
 }
 
-/** Runs at a time whose events a leader reads without holding up its heartbeats. */
+/** Number of concurrent runs whose events a leader can read without delaying its heartbeats. */
 const MAX_CONCURRENT_RUNS_COUNT = 250
 
 function neededEnginesCount ({ itemsCount, slotsCount }: SupplyNeed): number {
   return Math.floor(Math.min(MAX_CONCURRENT_RUNS_COUNT, itemsCount ?? MAX_CONCURRENT_RUNS_COUNT) / Math.max(1, slotsCount))
 }
 
-/** The engines that each data centre should have. */
+/** Returns the number of engines that each data centre should have. */
 export function planSupply (supplies: readonly DataCentreSupply[], { maxCount, minCount, reclaimablePrice }: ServiceScaling, need: SupplyNeed): PlannedSupply[] {
   const planned = supplies.map(({ dataCentre, permanentCount, orderedPermanentCount }) => {
     const wantedCount = Math.min(maxCount, Math.max(minCount, orderedPermanentCount ?? permanentCount))
--- a/src/fleet/controlCommands.ts
+++ b/src/fleet/controlCommands.ts
@@ -1,5 +1,6 @@
 /**
- * Commands that a host which follows the control hosts has for their leader.
+ * Submits commands to the leader of the control hosts, on behalf of a host that
+ * follows them.
  */
 import type { SubmitReply } from '../protocol/controlMessages.js'
 import type { RoutingCommand } from '../protocol/routingCommands.js'
@@ -18,18 +19,18 @@
   private readonly _addresses: () => string[]
   private _next = 0
 
-  /** @param addresses control hosts known at the moment */
+  /** @param addresses returns the addresses of the control hosts known now */
   constructor (addresses: () => string[], transport: Transport, scope: Scope, onFatal: (error: unknown) => void) {
     this._addresses = addresses
     this._links = new PeerLinks(transport, scope, onFatal)
   }
 
-  /** The same; true once a quorum has it. */
+  /** Like `submit`; resolves with true once a quorum has the command, with false when the deadline passes first. */
   async commit (command: RoutingCommand, progress: Progress): Promise<boolean> {
     return (await this.submit(command, progress)).kind === 'committed'
   }
 
-  /** Commits a command that may be committed twice without harm. */
+  /** Commits a command, which must be idempotent: retries may commit it twice. Resolves with the last reply when the deadline passes. */
   async submit (command: RoutingCommand, progress: Progress): Promise<SubmitReply> {
     let hint: string | undefined
     let last: SubmitReply = { kind: 'notCommitted', reason: 'no control host is known' }
--- a/src/fleet/fleetEvents.ts
+++ b/src/fleet/fleetEvents.ts
@@ -19,14 +19,14 @@
 
 export const fleetEventCatalogue: EventCatalogue = {
   [FleetEvent.ControlHostFollowed]: { level: LogLevel.Info, text: 'This host follows a control host.', advice: 'None.' },
-  [FleetEvent.ControlHostLost]: { level: LogLevel.Warn, text: 'A control host does not answer any more.', advice: 'Look at the control host and the network between. This host goes on with what it knows.' },
+  [FleetEvent.ControlHostLost]: { level: LogLevel.Warn, text: 'A control host no longer answers.', advice: 'Check the control host and the network path to it. This host continues with the state that it knows.' },
   [FleetEvent.RoutingInForce]: { level: LogLevel.Info, text: 'A routing configuration is in force on this host.', advice: 'None.' },
-  [FleetEvent.RoutingUnconfirmed]: { level: LogLevel.Warn, text: 'A routing configuration is in force that no quorum has confirmed.', advice: 'Look for a lost quorum of the control hosts.' },
-  [FleetEvent.EndpointKnown]: { level: LogLevel.Info, text: 'An endpoint is known, or has changed.', advice: 'None.' },
-  [FleetEvent.EndpointLeft]: { level: LogLevel.Info, text: 'An endpoint leaves; it gets nothing new.', advice: 'None.' },
-  [FleetEvent.EndpointSilent]: { level: LogLevel.Warn, text: 'An endpoint fell silent and is no longer used.', advice: 'Look at the endpoint.' },
-  [FleetEvent.WeightsNamed]: { level: LogLevel.Info, text: 'A newer version of weights was named.', advice: 'None.' },
-  [FleetEvent.StoreLeaderKnown]: { level: LogLevel.Info, text: 'The batch store has a leader, or another one.', advice: 'None.' },
+  [FleetEvent.RoutingUnconfirmed]: { level: LogLevel.Warn, text: 'A routing configuration is in force that no quorum has confirmed.', advice: 'Check for a lost quorum of the control hosts.' },
+  [FleetEvent.EndpointKnown]: { level: LogLevel.Info, text: 'An endpoint has been discovered or has changed.', advice: 'None.' },
+  [FleetEvent.EndpointLeft]: { level: LogLevel.Info, text: 'An endpoint is leaving or has left; it gets no new requests.', advice: 'None.' },
+  [FleetEvent.EndpointSilent]: { level: LogLevel.Warn, text: 'An endpoint sends no heartbeats and is no longer used.', advice: 'Check the endpoint.' },
+  [FleetEvent.WeightsNamed]: { level: LogLevel.Info, text: 'A newer version of the weights was named for a model.', advice: 'None.' },
+  [FleetEvent.StoreLeaderKnown]: { level: LogLevel.Info, text: 'The batch store has a leader, or its leader has changed.', advice: 'None.' },
   [FleetEvent.StoreLeaderLost]: { level: LogLevel.Warn, text: 'No control host knows of a leader of the batch store.', advice: 'A new one is elected within about a second, as long as more than half of the store hosts are up.' },
-  [FleetEvent.LeaveBoundShort]: { level: LogLevel.Warn, text: 'The deployment promises less time after the leave of an endpoint than this host may take to hear of it.', advice: 'Raise bounds.drainMs, or expect a request to reach an endpoint late when pushes are lost.' }
+  [FleetEvent.LeaveBoundShort]: { level: LogLevel.Warn, text: 'The configured drain time of endpoints is shorter than this host may take to learn of a leave.', advice: 'Raise bounds.drainMs; otherwise a request may reach a leaving endpoint too late when pushes are lost.' }
 }
--- a/src/fleet/fleetFollower.ts
+++ b/src/fleet/fleetFollower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows every control host at once: one task and one connection each. What
- * any of them tells is merged into the view, so that no single control host
- * that is cut off, slow or behind holds this host back.
+ * Follows all control hosts at the same time, with one task and one connection
+ * each. Updates of all of them are merged into the view, so that a single control
+ * host that is disconnected, slow or outdated does not delay this host.
  */
 import type { FleetHost, FleetUpdate, FollowReply } from '../protocol/fleet.js'
 import type { UsageReport } from '../protocol/usage.js'
@@ -20,31 +20,31 @@
 import { FleetTime } from './fleetTime.js'
 import type { FleetView } from './fleetView.js'
 
-/** Three of these within the time after which a control host calls a follower silent. */
+/** Three calls fit into the time after which a control host considers a follower silent. */
 const FOLLOW_INTERVAL_MS = 500
 /**
- * The same while a configuration is known that no quorum has confirmed: the host serves nothing until one has.
- * A control host holds such a call for up to 350 ms until it can confirm, so that more than three a second come
- * from no follower; a call that just missed the election of the leader would otherwise cost another 150 ms, and
- * so would each further one.
+ * The interval while only a configuration is known that no quorum has confirmed: the host serves nothing until one
+ * has. A control host holds such a call for up to 350 ms until it can confirm, so that a follower makes no more than
+ * about three calls a second. With the usual interval, each call that just missed the election of the leader would
+ * cost another 150 ms.
  */
 const UNCONFIRMED_INTERVAL_MS = 100
 const FOLLOW_TIMEOUT_MS = 600
 const CONNECT_TIMEOUT_MS = 600
 const RECONNECT_PAUSE_MS = 150
-/** Calls in a row without a reply after which a connection is replaced. */
+/** Consecutive calls without a reply after which a connection is replaced. */
 const MAX_UNANSWERED_COUNT = 2
 /**
- * A follower whose calls a majority of the control hosts answer knows of a
- * confirmed leave by then, also when every push of it was lost: the log has it
- * on a majority, one of which the follower reaches; that one applies it (20 ms
- * after the commit, or 150 ms with the next heartbeat of the log), and the next
- * call, with its reply, brings it.
+ * Time within which a follower whose calls are answered by a majority of the control
+ * hosts knows of a confirmed leave, even if every push of it is lost: a majority has
+ * the leave in its log, and the follower reaches at least one of these hosts. That
+ * host applies it (20 ms after the commit, or 150 ms with the next heartbeat of the
+ * log), and the reply to the next call carries it.
  */
 export const LEAVE_KNOWN_WITHIN_MS = 150 + FOLLOW_INTERVAL_MS + FOLLOW_TIMEOUT_MS
-/** A host that waited so long for a confirmed routing configuration takes an unconfirmed one: without a quorum none will come. */
+/** A host that has waited this long for a confirmed routing configuration accepts an unconfirmed one: without a quorum, none will be confirmed. */
 const ACCEPT_UNCONFIRMED_AFTER_MS = 3_000
-/** A control host that is in no list of members any more is given up after so long. */
+/** A control host that has been in no list of members for this long is no longer followed. */
 const FORGET_ADDRESS_AFTER_MS = 30_000
 
 export interface FleetFollowerOptions {
@@ -53,35 +53,35 @@
   logger: Logger
   supervisor: Supervisor
   view: FleetView
-  /** Control hosts as the settings name them. */
+  /** Addresses of the control hosts from the settings. */
   seedAddresses: string[]
-  /** What the deployment promises of endpoints that leave: nothing is sent to one so long after its leave was confirmed. */
+  /** Configured bound for leaving endpoints: they get no requests later than this after their leave was confirmed. */
   drainMs?: number
-  /** This host as it is at the moment. */
+  /** Returns the current description of this host. */
   describe: () => FleetHost
-  /** What it has to tell of the use of client accounts, if anything: all that changed since a revision. */
+  /** Source of the usage of client accounts, if this host counts it: all counts that changed since a revision. */
   usage?: { reportSince: (revision: number) => { revision: number, report: UsageReport } } | undefined
   onFatal: (error: unknown) => void
 }
 
 interface FollowedHost {
   scope: Scope
-  /** When it last was in a list of members, or answered. */
+  /** When the control host was last in a list of members. */
   lastListedAtMs: number
-  /** The control hosts that it told of last. */
+  /** The control hosts that it listed in its latest reply with a list. */
   listedAddresses: string[]
-  /** When the latest call that it answered was made. */
+  /** When the latest answered call was made. */
   lastAnsweredCallAtMs: number
 }
 
-/** What a connection has told of the use of client accounts. */
+/** The state of the usage reports that were sent over a connection. */
 interface SentUsage {
   revision: number
   settledBefore: number
 }
 
 export class FleetFollower {
-  /** The time of day as most hosts have it. */
+  /** The time of day of the fleet. */
   readonly time: FleetTime
   private readonly _options: FleetFollowerOptions
   private readonly _followed = new Map<string, FollowedHost>()
@@ -101,24 +101,24 @@
     this.follow(this._options.seedAddresses)
   }
 
-  /** Control hosts followed now. */
+  /** Addresses of the control hosts that are followed now. */
   get addresses (): string[] {
     return [...this._followed.keys()]
   }
 
-  /** For how long no majority of the control hosts has answered: what they have decided since may not be known here. */
+  /** Time since a majority of the control hosts last answered, in milliseconds. Later decisions may be unknown to this host. */
   outOfTouchMs (): number {
     const answered = [...this._followed.values()].map(({ lastAnsweredCallAtMs }) => lastAnsweredCallAtMs).sort((left, right) => right - left)
     const majorityAnsweredAtMs = answered[Math.floor(answered.length / 2)] ?? Number.NEGATIVE_INFINITY
     return this._options.clock.nowMs() - majorityAnsweredAtMs
   }
 
-  /** Tells all control hosts at once that this host has changed. */
+  /** Calls all control hosts immediately, as the description of this host has changed. */
   announceChange (): void {
     this._hostChanged.notify()
   }
 
-  /** Follows these control hosts too. */
+  /** Starts to follow these control hosts, in addition to the current ones. */
   follow (addresses: string[]): void {
     const nowMs = this._options.clock.nowMs()
     for (const address of addresses) {
@@ -148,11 +148,11 @@
     }
   }
 
-  /** Repeats the call until the connection is lost, or calls over it go unanswered. */
+  /** Repeats the call until the connection is lost or several calls in a row are not answered. */
   private async _followOver (peer: RpcPeer, address: string, scope: Scope): Promise<void> {
     const { clock } = this._options
     let unansweredCount = 0
-    /** How this host was described in the last call, if that was answered: the other side tells all again otherwise. */
+    /** The description of this host in the last call, if that was answered. Otherwise it is sent again, and the control host replies with its complete state. */
     let sentDescription = ''
     const usage: SentUsage = { revision: 0, settledBefore: Number.NEGATIVE_INFINITY }
     while (!peer.connection.scope.isClosed && unansweredCount < MAX_UNANSWERED_COUNT) {
@@ -164,7 +164,7 @@
       unansweredCount = isAnswered ? 0 : unansweredCount + 1
       if (isAnswered) await this._hostChanged.wait(scope, { clock, deadlineMs: calledAtMs + this._intervalMs() })
     }
-    peer.connection.close('calls go unanswered')
+    peer.connection.close('calls are not answered')
   }
 
   private _intervalMs (): number {
@@ -185,7 +185,7 @@
     return true
   }
 
-  /** Undefined when the connection has told all that there is. */
+  /** Returns undefined when everything was already sent over the connection. */
   private _usageSince ({ revision, settledBefore }: SentUsage): { revision: number, report: UsageReport } | undefined {
     const usage = this._options.usage?.reportSince(revision)
     const hasChanged = usage !== undefined && (usage.revision !== revision || usage.report.settledBefore !== settledBefore)
@@ -206,7 +206,7 @@
     this._removeUnlistedAddresses()
   }
 
-  /** The first routing configuration has to be confirmed; later ones can only be newer. */
+  /** The first routing configuration must be confirmed by a quorum; later ones replace it only if they are newer. */
   private _merge (address: string, update: FleetUpdate, isRoutingConfirmed: boolean): void {
     const { view, clock, logger } = this._options
     const isFirst = view.routing === undefined
@@ -235,7 +235,7 @@
   private async _connect (address: string, scope: Scope): Promise<RpcPeer | undefined> {
     const { clock, transport, onFatal } = this._options
     const connectScope = scope.child('connection')
-    const cancelTimer = clock.callAt(clock.nowMs() + CONNECT_TIMEOUT_MS, () => connectScope.close('connecting takes too long'))
+    const cancelTimer = clock.callAt(clock.nowMs() + CONNECT_TIMEOUT_MS, () => connectScope.close('connecting timed out'))
     try {
       const outcome = await transport.connect(address, connectScope)
       if (outcome.kind === 'connected') {
--- a/src/fleet/fleetHostSettings.ts
+++ b/src/fleet/fleetHostSettings.ts
@@ -1,13 +1,13 @@
 /**
  * Settings of a process of the fleet, in TOML: where it runs, where it listens,
- * the control hosts to begin with, and the bounds of the deployment. The ports
- * on which the system's own processes reach each other are the same on all
- * hosts, and follow from the first of a range.
+ * the seed control hosts, and the bounds of the deployment. The ports on which the
+ * processes of the system reach each other are the same on all hosts and are
+ * derived from the first port of a range.
  */
 import { z } from 'zod'
 import { addressSchema, parseAddress } from '../utils/settings.js'
 
-/** The programs that run on the platform. */
+/** The programs of the fleet. */
 export type ProgramName = 'edge' | 'control' | 'store'
 
 const portSchema = z.int().min(1).max(65_535)
@@ -17,10 +17,10 @@
     name: z.string().min(1),
     ip: z.string().min(1),
     dataCentre: z.string().min(1),
-    /** True only at the first start of the whole system. */
+    /** True only at the first start of the complete system. */
     isFirstStart: z.boolean(),
     dataFolder: z.string().min(1).optional(),
-    /** Memory that the host allows each process; one that passes it is ended. */
+    /** Memory limit of each process on the host; a process that exceeds it is killed. */
     memoryMb: z.number().positive().optional()
   }),
   listen: z.strictObject({
@@ -33,42 +33,42 @@
     seedAddresses: z.array(addressSchema),
     internalPorts: z.tuple([z.int().min(1), z.int().max(65_535)])
   }),
-  /** Ports at which the programs serve their metrics; two of them may share a host. */
+  /** Ports at which the programs serve their metrics; several programs may run on the same host. */
   metricsPorts: z.strictObject({ edge: portSchema, control: portSchema, store: portSchema }),
   bounds: z.strictObject({
-    /** Interval at which endpoints announce themselves. */
+    /** Heartbeat interval of endpoints. */
     heartbeatMs: z.number().positive().default(1_200),
-    /** Hosts with a disk that may be lost at once. */
+    /** Number of hosts with a disk that may be lost at the same time. */
     toleratedLosses: z.int().min(0).default(1),
-    /** Two hosts may not both order an endpoint within this time. */
+    /** Two hosts must not both send orders to an endpoint within this time. */
     orderLeaseMs: z.number().positive().default(3_000),
-    /** A process that was told to stop is killed after this. */
+    /** A process that was asked to stop is killed after this time. */
     graceS: z.number().positive().default(8),
-    /** Results can be read for so long after their batch was sent. */
+    /** How long after its submission the results of a batch can be read. */
     keepBatchesS: z.number().positive().default(120),
-    /** Callers keep an answer about addresses no longer than this, whatever it says. */
+    /** Longest time that callers cache an answer about addresses, whatever validity it states. */
     maxAdviceAgeS: z.number().positive().default(5),
-    /** An endpoint that leaves gets nothing new after this. */
+    /** An endpoint that leaves gets no new requests after this time. */
     drainMs: z.number().positive().default(2_000),
-    /** A host that is out of touch admits no key any more, rather than one that may have been taken away. */
+    /** Whether a host that is disconnected from the control hosts stops admitting keys, as any of them may have been revoked. */
     isRevocationStrict: z.boolean().default(false),
-    /** For how long such a host still admits the keys that it knows. */
+    /** How long such a host still admits the keys that it knows. */
     revokeMs: z.number().min(0).default(5_000),
-    /** Use is reported for each window of this length. */
+    /** Length of the windows for which usage is reported. */
     usageWindowS: z.number().positive().default(5),
-    /** After the end of a window its report is due. */
+    /** Time after the end of a window at which its report is due. */
     usageLateS: z.number().positive().default(10)
   }),
-  /** Where the infrastructure takes calls that are the duty of one host at a time; absent where there are none. */
+  /** The infrastructure that receives the calls of duties, which one host at a time performs; absent where there is none. */
   infrastructure: z.strictObject({
     address: addressSchema,
-    /** As the deployment calls them. */
+    /** Names of the duties in the deployment. */
     duties: z.array(z.string())
   }).optional()
 })
 export type FleetHostSettings = z.infer<typeof fleetHostSettingsSchema>
 
-/** Which of the internal ports serves what. */
+/** Offsets of the internal ports from the first one. */
 enum InternalPort {
   ControlPeers = 0,
   ControlAdmin = 1,
@@ -76,20 +76,20 @@
 }
 
 export interface InternalAddresses {
-  /** Of the control process, for the other processes of the system. */
+  /** Address of the control process for the other processes of the system. */
   controlPeers: string
-  /** Of the control process, for the project's own operators' interface. */
+  /** Address of the control process for the operator interface. */
   controlAdmin: string
-  /** Of the store process. */
+  /** Address of the store process for its peers. */
   storePeers: string
 }
 
-/** Where a program of this host serves its metrics. */
+/** The address at which a program on this host serves its metrics. */
 export function metricsAddress ({ host, metricsPorts }: FleetHostSettings, program: ProgramName): string {
   return `${host.ip}:${metricsPorts[program]}`
 }
 
-/** Internal addresses at a host. */
+/** The internal addresses of a host. */
 export function internalAddresses (settings: FleetHostSettings, ip: string): InternalAddresses {
   const [firstPort] = settings.cluster.internalPorts
   const at = (offset: InternalPort): string => `${ip}:${firstPort + offset}`
@@ -100,12 +100,12 @@
   }
 }
 
-/** Where the seeds take calls of the system's own processes. */
+/** Addresses of the control processes of the seeds, for the other processes of the system. */
 export function seedPeerAddresses (settings: FleetHostSettings): string[] {
   return seedIps(settings).map(ip => internalAddresses(settings, ip).controlPeers)
 }
 
-/** IP numbers of the seeds. */
+/** IP addresses of the seeds. */
 export function seedIps (settings: FleetHostSettings): string[] {
   return settings.cluster.seedAddresses.map(address => parseAddress(address).host)
 }
--- a/src/fleet/fleetTime.ts
+++ b/src/fleet/fleetTime.ts
@@ -1,33 +1,33 @@
 /**
- * The time of day as most hosts have it. The clock of one host may be seconds
- * off, and may be set while it runs; each control host takes the median of the
- * clocks of all hosts that call it, and every host the median of what control
- * hosts say. What is kept are distances to the host's own monotonic clock, so
- * that a clock which is set changes nothing in between.
+ * Estimates the time of day of the fleet. The clock of a single host may be off by
+ * seconds and may be set while the host runs. Each control host therefore takes the
+ * median of the clocks of all hosts that call it, and every host takes the median of
+ * the times that the control hosts report. The estimates are stored as offsets to
+ * the monotonic clock of the host, so that setting its clock does not affect them.
  */
 import type { Clock } from '../utils/clock.js'
 import { median } from '../utils/median.js'
 
-/** Of the last few answers the one that took least time says most. */
+/** Of the latest samples, the one with the shortest round trip is the most accurate. */
 const MAX_SAMPLES_COUNT = 6
 
 interface Sample {
-  /** By how much the fleet's time of day is ahead of the monotonic clock. */
+  /** Difference between the fleet's time of day and the monotonic clock. */
   offsetMs: number
   roundTripMs: number
 }
 
 export interface ReceivedTime {
-  /** The time of day that a control host gave with its answer. */
+  /** The time of day in the answer of a control host. */
   fleetWallMs: number
-  /** Instants of the monotonic clock. */
+  /** Times of the monotonic clock when the call was made and answered. */
   calledAtMs: number
   answeredAtMs: number
 }
 
 export class FleetTime {
   private readonly _clock: Clock
-  /** By the address of the control host that told them. */
+  /** By the address of the control host that reported them. */
   private readonly _samples = new Map<string, Sample[]>()
 
   constructor (clock: Clock) {
@@ -42,7 +42,7 @@
     this._samples.set(controlAddress, samples)
   }
 
-  /** The time of day at an instant of the monotonic clock; that of this host until a control host was heard. */
+  /** Converts a time of the monotonic clock to the time of day; uses the clock of this host until a control host has answered. */
   wallAt (nowMs: number): number {
     const offsetsMs = [...this._samples.values()].map(bestOffsetMs)
     const offsetMs = offsetsMs.length > 0 ? median(offsetsMs) : this._clock.wallMs() - this._clock.nowMs()
--- a/src/fleet/fleetView.ts
+++ b/src/fleet/fleetView.ts
@@ -1,7 +1,7 @@
 /**
- * What this host knows of the fleet, merged from all control hosts that it
- * follows. Nothing here goes back: not the routing version, not the lifecycle
- * of an endpoint, not a named version of weights.
+ * The state of the fleet as known to this host, merged from all control hosts that
+ * it follows. The routing version, the lifecycle of an endpoint and the named
+ * version of weights only move forward.
  */
 import { KnownLeaves, type EndpointLeave } from '../protocol/endpointLeaves.js'
 import { EndpointLifecycle, HostRole, type FleetEndpoint, type FleetHost, type FleetUpdate } from '../protocol/fleet.js'
@@ -12,26 +12,26 @@
 import { FleetEvent } from './fleetEvents.js'
 import { KnownQuarantine } from './knownQuarantine.js'
 
-/** Endpoints that left, and their newest starts, are remembered, so that an outdated control host does not bring them back. */
+/** Number of removed endpoints, and of newest incarnations, that are remembered so that an outdated control host does not bring them back. */
 const MAX_REMEMBERED_COUNT = 4_096
 
 export class FleetView {
-  /** Notified after anything changed. */
+  /** Notified after any change. */
   readonly changed = new Signal()
-  /** Requests that end endpoints. */
+  /** Quarantined requests, as reported by the control hosts. */
   readonly quarantine = new KnownQuarantine()
   routing: Routing | undefined
   storeGroup: StoreGroup | undefined
   private readonly _logger: Logger
   private readonly _endpoints = new Map<string, FleetEndpoint>()
   private readonly _removedIds = new Set<string>()
-  /** Also of endpoints that are not known here: an outdated control host must not bring them back. */
+  /** Includes leaves of endpoints that are unknown here: an outdated control host must not bring them back. */
   private readonly _leaves = new KnownLeaves()
-  /** The newest start that was heard of, by the endpoint's name. */
+  /** The newest known incarnation, by the name of the endpoint. */
   private readonly _newestIncarnations = new Map<string, FleetEndpoint>()
-  /** By the address of the control host that told of them, and by their id. */
+  /** Hosts by the address of the control host that reported them, and by their id. */
   private readonly _hosts = new Map<string, Map<string, FleetHost>>()
-  /** All of them, made anew after a change when it is asked for. */
+  /** Cached merge of `_hosts`; computed on first use after a change. */
   private _merged: FleetHost[] | undefined
   private readonly _weights = new Map<string, number>()
   private readonly _retirements = new Map<string, Retirement>()
@@ -42,18 +42,18 @@
     this._logger = logger
   }
 
-  /** Calls back at once after every change, before anything else happens; the returned function ends that. */
+  /** Adds a listener that is called synchronously after every change; the returned function removes it. */
   onChange (listener: () => void): () => void {
     this._listeners.add(listener)
     return () => this._listeners.delete(listener)
   }
 
-  /** Endpoints that take new work. */
+  /** Endpoints that accept new work. */
   ready (): FleetEndpoint[] {
     return [...this._endpoints.values()].filter(({ lifecycle }) => lifecycle === EndpointLifecycle.Ready)
   }
 
-  /** Known endpoints of a service, whether they take new work or leave. */
+  /** Known endpoints of a service, including those that are leaving. */
   endpointsOf (service: string): FleetEndpoint[] {
     return [...this._endpoints.values()].filter(endpoint => endpoint.service === service)
   }
@@ -62,19 +62,19 @@
     return this._endpoints.get(endpointId)
   }
 
-  /** Whether a start of an endpoint is known to leave or to have left: its end is no surprise. */
+  /** Whether this incarnation of the endpoint is known to be leaving or to have left, so that its termination is expected. */
   isLeaving (endpoint: FleetEndpoint): boolean {
     const lifecycle = this._endpoints.get(endpoint.endpointId)?.lifecycle ?? EndpointLifecycle.Ready
     return Math.max(lifecycle, this._leaves.lifecycleOf(endpoint)) > EndpointLifecycle.Ready
   }
 
-  /** Hosts that any control host hears of. */
+  /** Hosts of a role that at least one control host is connected to. */
   hosts (role: HostRole): FleetHost[] {
     this._merged ??= mergeHosts(this._hosts.values())
     return this._merged.filter(host => host.role === role)
   }
 
-  /** The leader of the batch store, by the latest term that was told. */
+  /** The leader of the batch store in the latest reported term. */
   storeLeader (): FleetHost | undefined {
     const leading = this.hosts(HostRole.Store).filter(({ store }) => store?.isLeader === true)
     return leading.sort((left, right) => termOf(right) - termOf(left))[0]
@@ -92,7 +92,7 @@
     return [...this._retirements.values()].filter(({ state }) => state === RetirementState.Serving)
   }
 
-  /** Takes over what a control host told. */
+  /** Merges an update of a control host. */
   merge (controlAddress: string, update: FleetUpdate): void {
     if (update.routing) this.replaceRouting(update.routing)
     this._updateHosts(controlAddress, update)
@@ -104,7 +104,7 @@
     this._notify()
   }
 
-  /** The control host is out of reach: what it said of hosts counts no more. */
+  /** Drops the hosts that a control host reported, as it is no longer connected. */
   removeHostsOf (controlAddress: string): void {
     if (!this._hosts.delete(controlAddress)) return
     this._merged = undefined
@@ -112,7 +112,7 @@
     this._notify()
   }
 
-  /** The endpoint at the address is another one now. */
+  /** Removes an endpoint whose address another one has taken over. */
   markGone (endpointId: string): void {
     const known = this._endpoints.get(endpointId)
     if (known) this._mergeEndpoint({ ...known, lifecycle: EndpointLifecycle.Gone })
@@ -130,7 +130,7 @@
     this.changed.notify()
   }
 
-  /** Leaves first: an endpoint that left is not to be used for a moment. */
+  /** Leaves are applied first, so that an endpoint that has left is not used even for a moment. */
   private _updateEndpoints ({ leaves = [], endpoints = [], silent = [] }: FleetUpdate): void {
     for (const leave of leaves) this._applyLeave(leave)
     for (const endpoint of endpoints) this._mergeEndpoint(endpoint)
@@ -185,7 +185,7 @@
     this._logEndpoint(known, endpoint)
   }
 
-  /** A newer start ends the earlier one: whatever is told of that later comes late. */
+  /** A newer incarnation replaces an earlier one, whose later updates are ignored as outdated. */
   private _isNewestIncarnation (received: FleetEndpoint): boolean {
     const newest = this._newestIncarnations.get(received.name)
     if (newest && received.bornAtMs < newest.bornAtMs) return false
@@ -209,7 +209,7 @@
     dropOldest(this._removedIds)
   }
 
-  /** Another control host may have heard of it since. */
+  /** Removes an endpoint that sends no heartbeats, unless another control host has received a newer one. */
   private _removeSilent (endpointId: string, sequence: number): void {
     const known = this._endpoints.get(endpointId)
     if (!known || known.sequence > sequence) return
@@ -218,7 +218,7 @@
   }
 }
 
-/** Of a host that several control hosts tell of, what is of the latest term. */
+/** If several control hosts report a host, the entry with the latest term wins. */
 function mergeHosts (hostsByControlHost: Iterable<Map<string, FleetHost>>): FleetHost[] {
   const merged = new Map<string, FleetHost>()
   for (const hosts of hostsByControlHost) {
--- a/src/fleet/knownQuarantine.ts
+++ b/src/fleet/knownQuarantine.ts
@@ -1,18 +1,18 @@
 /**
- * What this host was told of requests under which endpoints ended. Several
- * control hosts tell the same; of two notices about a request the newer holds.
+ * The notices about quarantined requests that this host has received. Several
+ * control hosts send the same notices; of two about one request the newer wins.
  */
 import { LRUCache } from 'lru-cache'
 import { QuarantineVerdict, type QuarantineNotice } from '../protocol/quarantine.js'
 
-/** As many as a control host keeps. */
+/** The same number as a control host keeps. */
 const MAX_NOTICES_COUNT = 512
 
 export class KnownQuarantine {
   private readonly _notices = new LRUCache<string, QuarantineNotice>({ max: MAX_NOTICES_COUNT })
   private readonly _listeners = new Set<(notice: QuarantineNotice) => void>()
 
-  /** Calls back for each notice that is news here. */
+  /** Adds a listener that is called for each notice that is new here. */
   onUpdate (listener: (notice: QuarantineNotice) => void): void {
     this._listeners.add(listener)
   }
@@ -30,7 +30,7 @@
     return this._notices.get(digest)
   }
 
-  /** Whether anything at all is suspected or condemned; most of the time nothing is. */
+  /** Whether there are no notices at all, which is the usual case. */
   get isEmpty (): boolean {
     return this._notices.size === 0
   }
--- a/src/gateway/eventCutter.ts
+++ b/src/gateway/eventCutter.ts
@@ -1,23 +1,23 @@
 /**
- * Cuts a stream of events (text/event-stream) where its events end, so that a
- * stream which breaks off in the middle of one can go on at another endpoint
- * behind the last whole event. The bytes stay as the endpoint sent them.
+ * Splits a `text/event-stream` body at event boundaries, so that a stream that
+ * breaks within an event can be resumed at another endpoint after the last
+ * complete event. The bytes are passed on exactly as the endpoint sent them.
  */
 const EVENT_END = Buffer.from('\n\n')
 const ID_LINE = /^id: ?(\d+)$/m
 
 export interface CompleteEvents {
   bytes: Uint8Array
-  /** Id of the last event among them that has one. */
+  /** Id of the last event in `bytes` that carries one. */
   lastId: number | undefined
-  /** Id of the first event among them that has one. */
+  /** Id of the first event in `bytes` that carries one. */
   firstId: number | undefined
 }
 
 export class EventStreamSplitter {
   private _partialEvent: Buffer = Buffer.alloc(0)
 
-  /** Takes the next bytes; the events that are whole now, if any. */
+  /** Adds the next chunk and returns the events that it completes, if any. */
   push (chunk: Uint8Array): CompleteEvents | undefined {
     this._partialEvent = this._partialEvent.length === 0 ? Buffer.from(chunk) : Buffer.concat([this._partialEvent, chunk])
     const end = this._partialEvent.lastIndexOf(EVENT_END)
@@ -28,7 +28,7 @@
     return { bytes, firstId: ids[0], lastId: ids.at(-1) }
   }
 
-  /** Whether the bytes taken so far end with a whole event. */
+  /** Whether the bytes received so far end at an event boundary. */
   get isAtEventEnd (): boolean {
     return this._partialEvent.length === 0
   }
--- a/src/gateway/failedTry.ts
+++ b/src/gateway/failedTry.ts
@@ -1,6 +1,6 @@
 /**
- * What a try that brought no answer says of its endpoint, for plain and for
- * streamed requests alike.
+ * Classifies a try that got no answer and records the failure in the health of
+ * its endpoint. Used for plain and for streamed requests.
  */
 import type { EndpointOutcome } from '../endpoints/endpointClient.js'
 import { FailureReason } from '../endpoints/endpointHealth.js'
@@ -14,17 +14,17 @@
 export interface FailedTry {
   reason: RetryReason
   detail: string
-  /** The endpoint may have run the request. */
+  /** Whether the endpoint may have run the request. */
   mayHaveRun: boolean
-  /** It was only full: worth asking again once all the others were. */
+  /** The endpoint only lacked a free slot: it may be tried again after all the others. */
   wasFull: boolean
 }
 
 /**
- * Notes the failure in what is known of the endpoint.
- * @param beganAtMs when the try began
+ * Records the failure in the health of the endpoint.
+ * @param startedAtMs when the try was started
  */
-export function recordFailedTry (endpointId: string, beganAtMs: number, outcome: FailedOutcome, { pool, view }: { pool: EndpointPool, view: FleetView }): FailedTry {
+export function recordFailedTry (endpointId: string, startedAtMs: number, outcome: FailedOutcome, { pool, view }: { pool: EndpointPool, view: FleetView }): FailedTry {
   const health = pool.health(endpointId)
   const failed = { mayHaveRun: false, wasFull: false }
   switch (outcome.kind) {
@@ -35,11 +35,11 @@
       view.markGone(endpointId)
       return { ...failed, reason: RetryReason.EndpointRefused, detail: 'another endpoint has the address' }
     case 'unreached':
-      if (outcome.isRefused === true) health.refused(beganAtMs)
-      else health.failed(FailureReason.Unreached, beganAtMs)
+      if (outcome.isRefused === true) health.refused(startedAtMs)
+      else health.failed(FailureReason.Unreached, startedAtMs)
       return { ...failed, reason: RetryReason.ConnectFailed, detail: outcome.reason }
     case 'broken':
-      health.failed(FailureReason.Broken, beganAtMs)
+      health.failed(FailureReason.Broken, startedAtMs)
       return { ...failed, mayHaveRun: true, reason: RetryReason.ConnectionLost, detail: outcome.reason }
     default:
       return unreachable(outcome)
--- a/src/gateway/requestForwarder.ts
+++ b/src/gateway/requestForwarder.ts
@@ -1,8 +1,8 @@
 /**
- * Passes one request on to an endpoint of its route's service, and to others
- * if that fails and the request may run more than once. A second try starts
- * beside the first when that takes unusually long (the reissue of Dean and
- * Barroso, "The Tail at Scale", 2013).
+ * Forwards a request to an endpoint of its route's service, and to other
+ * endpoints if that fails and the request may run more than once. A second try
+ * is started beside the first when that one takes unusually long (hedged
+ * requests; Dean and Barroso, "The Tail at Scale", 2013).
  */
 import type { EndpointClient, EndpointOutcome } from '../endpoints/endpointClient.js'
 import type { EndpointPool } from '../endpoints/endpointPool.js'
@@ -29,7 +29,7 @@
 import { chooseService } from './routeTable.js'
 import { FairWaitQueue, type QueueEntry } from './waitingTurns.js'
 
-/** Pause before endpoints that were all full are asked again. */
+/** Pause before the endpoints of a service are tried again after all of them were full. */
 const FULL_RETRY_MS = 20
 
 export interface ForwardRequest {
@@ -40,19 +40,19 @@
   headers: string[]
   body: Uint8Array
   attemptId: string
-  /** The client account in whose name it runs; undefined for none. */
+  /** The client account that the request runs for; undefined for none. */
   account?: string | undefined
-  /** 0 is the most urgent; that of the account, if it has one, goes before that of the route. */
+  /** 0 is the most urgent. The priority of the account, if it has one, overrides that of the route. */
   priority?: number | undefined
-  /** Told once when an endpoint has begun, or may have begun, to run it: the instant at which it was sent there. */
+  /** Called once when an endpoint has started, or may have started, to run the request; gets the time at which it was sent there. */
   onStarted?: ((sentAtMs: number) => void) | undefined
   progress: Progress
-  /** A refusal is of no use to whoever asks: keep trying until the deadline. */
+  /** Keep trying until the deadline: the caller cannot make use of a refusal. */
   isPersistent?: boolean
 }
 
 export type ForwardOutcome =
-  /** What an endpoint answered; `failedAnswersCount` tells how many answers of 500 there were. */
+  /** The answer of an endpoint; `failedAnswersCount` is the number of answers with status 500. */
   | { kind: 'answered', endpointId: string, status: number, headers: string[], body: Uint8Array, receipt: string | undefined, failedAnswersCount: number }
   | { kind: 'refused', executed: Executed, reason: RefusalReason, retryAfterMs: number }
 
@@ -68,7 +68,7 @@
 
 export class RequestForwarder {
   private readonly _options: RequestForwarderOptions
-  /** Second tries beside first ones add at most a tenth to the load of a service. */
+  /** Hedged tries add at most a tenth to the load of a service. */
   private readonly _hedgeBudgets = new Map<string, RetryBudget>()
   private readonly _waitQueue = new FairWaitQueue()
 
@@ -76,7 +76,7 @@
     this._options = options
   }
 
-  /** @throws ScopeClosedError when the caller leaves first. */
+  /** @throws ScopeClosedError when the caller disconnects first. */
   async forward (request: ForwardRequest): Promise<ForwardOutcome> {
     const scope = request.progress.scope.child('tries')
     const service = chooseService(request.route, this._options.random)
@@ -112,7 +112,7 @@
   private readonly _startedAtMs: number
   private _triesCount = 0
   private _openTriesCount = 0
-  /** Tries that may have run. */
+  /** Tries that an endpoint ran or may have run. */
   private _ranCount = 0
   private _isStarted = false
   private readonly _failures: FailureAccount
@@ -132,7 +132,6 @@
     this._queueEntry = { service, priority: request.priority ?? request.route.priority }
   }
 
-  /** It waits no longer. */
   leaveQueue (): void {
     this._waitQueue.leave(this._queueEntry)
   }
@@ -151,7 +150,7 @@
     return this._answer ?? this._refuse(RefusalReason.DeadlinePassed)
   }
 
-  /** Starts a try, or ends the request when no further one is allowed or of use. */
+  /** Starts a try; returns the outcome of the request when no further try is allowed or useful. */
   private _tryNext (): ForwardOutcome | undefined {
     const { route } = this._request
     const mayRunAgain = this._ranCount === 0 || (route.kind !== RouteKind.AtMostOnce && this._ranCount < route.maxAttemptsCount)
@@ -159,7 +158,7 @@
     const status = this._options.quarantine.standingOf(this._identity)
     if (status === RequestStanding.Condemned) return this._refuseQuarantined()
     const endpoint = this._chooseIfNext()
-    // With all of them gone it waits for the first that is back, or for its deadline.
+    // When every endpoint refuses connections, the request waits for the first one that is back, or for its deadline.
     if (endpoint && (this._options.pool.isRefusing(endpoint) || !this._options.quarantine.mayBegin(status, endpoint))) return undefined
     if (endpoint) {
       this._startTry(endpoint)
@@ -183,7 +182,7 @@
   private _mayHedge (): boolean {
     const { route, progress } = this._request
     const mayRepeat = route.kind !== RouteKind.AtMostOnce && this._ranCount + this._openTriesCount < route.maxAttemptsCount
-    // A second endpoint would end beside the first.
+    // A request that terminates endpoints would terminate the second one as well.
     if (this._options.quarantine.standingOf(this._identity) !== RequestStanding.Free) return false
     return mayRepeat && !progress.isOver() && this._openTriesCount === 1 && this._hedgeBudget.take()
   }
@@ -195,7 +194,7 @@
     this._countRetry(RetryReason.Hedged)
   }
 
-  /** Undefined while others that wait go before it. */
+  /** Undefined while other waiting requests are ahead of this one. */
   private _chooseIfNext (): FleetEndpoint | undefined {
     const { pool } = this._options
     return this._waitQueue.mayTry(this._queueEntry, pool.availableSlotsCount(this._service)) ? this._choose() : undefined
@@ -254,7 +253,7 @@
           this._options.pool.recordDuration(this._service, durationMs)
         } else {
           this._options.quarantine.answeredWithError(run)
-          // How fast it fails says nothing of how fast it works.
+          // The duration is not recorded: how fast an endpoint fails says nothing about how fast it serves.
           health.worked()
           health.recordLoad(outcome.load)
           this._failures.note(endpoint.endpointId, health, startedAtMs, outcome.status)
@@ -271,7 +270,7 @@
     this._isStarted = true
   }
 
-  /** Nothing says when to come back: it would be held back again. */
+  /** The refusal carries no retry delay: the request would be withheld again. */
   private _refuseQuarantined (): ForwardOutcome {
     const { attemptId, route } = this._request
     this._options.quarantine.noteHeldBack(this._identity, { attemptId, route: route.name })
@@ -284,7 +283,7 @@
       this._ranCount++
       this._notifyStarted(startedAtMs)
     }
-    // It may be asked again when all the others were.
+    // A full endpoint may be tried again once all the others were.
     if (wasFull) this._tried.delete(endpoint.endpointId)
     this._logFailure(endpoint, reason, detail)
   }
@@ -308,7 +307,7 @@
     return { kind: 'refused', executed, reason, retryAfterMs }
   }
 
-  /** What the choice of the endpoint went by, and how old that was. */
+  /** Logs the state of the endpoint that the choice was based on, and its age. */
   private _logTry ({ endpointId, service, sequence }: FleetEndpoint): void {
     const { attemptId, route, progress } = this._request
     const health = this._options.pool.health(endpointId)
@@ -339,7 +338,7 @@
   }
 }
 
-/** For the log: nothing is known of what is not a number. */
+/** For the log: a value that is missing or not finite is logged as null. */
 function finiteOrNull (value: number | undefined): number | null {
   return value !== undefined && Number.isFinite(value) ? Math.round(value) : null
 }
--- a/src/gateway/requestPolicy.ts
+++ b/src/gateway/requestPolicy.ts
@@ -1,17 +1,18 @@
 /**
- * What becomes of a request that no endpoint has taken, and when a second try
- * starts beside the first. Every figure is measured at the service itself: how
- * long its requests take and how many wait there. A caller that is refused can
- * turn to another host or come back when there is room; one that is held and
- * refused in the end has lost its time. Pure functions.
+ * Decides whether a request that no endpoint has accepted keeps waiting or is
+ * refused, and when a second try is started beside the first (hedging). Both
+ * decisions use values measured at the service itself: the duration of its
+ * requests and the number of waiting ones. Hopeless requests are refused early: a
+ * refused caller can go to another host or come back later, whereas one that
+ * waits and is refused in the end has lost that time. Pure functions.
  */
 import type { RandomSource } from '../utils/randomSource.js'
 
-/** What a service can do for a request now, as far as its endpoints' answers tell. */
+/** Estimate of how soon a service can serve a request, based on the answers of its endpoints. */
 export interface ServiceForecast {
-  /** Time until an endpoint has room; 0 when one has. */
+  /** Time until an endpoint has a free slot; 0 when one has. */
   waitMs: number
-  /** Time that a request takes at an endpoint. */
+  /** Typical duration of a request at an endpoint. */
   typicalMs: number
 }
 
@@ -26,14 +27,14 @@
   | { kind: 'wait' }
   | { kind: 'refuse', retryAfterMs: number }
 
-/** A forecast that was wrong by more than this is not trusted any longer. */
+/** A request that has waited longer than this multiple of the forecast no longer relies on it. */
 const MAX_FORECAST_ERROR_FACTOR = 2
-/** Endpoints that are unknown here are heard of within this time: a host asks the control hosts twice a second. */
+/** Endpoints that this host does not know yet are discovered within this time: a host calls the control hosts twice a second. */
 const DISCOVERY_TIME_MS = 500
-/** Callers do not come back sooner: a free slot is taken by those that wait already. */
+/** Lower bound of the retry delay: a free slot goes to the requests that are already waiting. */
 const MIN_RETRY_AFTER_MS = 20
 
-/** Whether to go on looking for an endpoint. What cannot be served in time is refused at once. */
+/** Whether a request keeps waiting for an endpoint. A request that cannot be served in time is refused at once. */
 export function waitOrRefuse ({ forecast, waitedMs, remainingMs }: UndispatchedRequest, random: RandomSource): WaitDecision {
   if (!forecast) return { kind: 'refuse', retryAfterMs: DISCOVERY_TIME_MS }
   const { waitMs, typicalMs } = forecast
@@ -43,19 +44,19 @@
   return { kind: 'refuse', retryAfterMs: jitteredRetryMs(Math.max(waitMs, waitedMs), random) }
 }
 
-/** Not before there should be room, and spread over as long again, so that callers do not return at one moment. */
+/** Not before a slot should be free, with jitter of up to the same time again, so that callers do not return all at once. */
 function jitteredRetryMs (waitMs: number, random: RandomSource): number {
   return Math.max(MIN_RETRY_AFTER_MS, waitMs) * (1 + random.real())
 }
 
-/** Durations that are needed before a quantile of them says anything. */
+/** Number of durations from which on their quantile is meaningful. */
 const MIN_DURATIONS_COUNT = 20
-/** A second try starts when this share of requests would have been answered. */
+/** A second try is started once this share of requests would have been answered. */
 const HEDGE_QUANTILE = 0.95
-/** So many means is the same quantile of durations that decay exponentially. */
+/** For exponentially distributed durations, this multiple of the mean is the same quantile. */
 const HEDGE_MEAN_MULTIPLE = 3
 
-/** Time after which a try is late by what its service usually takes. */
+/** Time after which a try counts as late, given the usual durations of its service. */
 export function hedgeDelayMs (sortedDurationsMs: readonly number[], typicalMs: number): number {
   if (sortedDurationsMs.length < MIN_DURATIONS_COUNT) return HEDGE_MEAN_MULTIPLE * typicalMs
   return sortedDurationsMs[Math.floor(HEDGE_QUANTILE * sortedDurationsMs.length)] ?? HEDGE_MEAN_MULTIPLE * typicalMs
--- a/src/gateway/routeTable.ts
+++ b/src/gateway/routeTable.ts
@@ -1,6 +1,6 @@
 /**
- * Finds the route of a request: of the routes of its host, the one with the
- * longest prefix that begins its path.
+ * Finds the route of a request: among the routes of its host, the one with the
+ * longest path prefix that matches.
  */
 import type { RandomSource } from '../utils/randomSource.js'
 import type { Routing, RoutingRoute } from '../protocol/routing.js'
@@ -19,24 +19,24 @@
     for (const routes of this._byHost.values()) routes.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length)
   }
 
-  /** @param path without its query */
+  /** @param path without the query string */
   find (host: string, path: string): RoutingRoute | undefined {
     return this._byHost.get(host)?.find(({ pathPrefix }) => path.startsWith(pathPrefix))
   }
 }
 
-/** Keeps the table of the routing configuration in force. */
+/** Caches the table of the routing configuration in force. */
 export class CurrentRoutes {
   private _table: RouteTable | undefined
 
-  /** The table of a routing configuration; made anew when its version has changed. */
+  /** Returns the table of a routing configuration; rebuilds it when the version has changed. */
   of (routing: Routing): RouteTable {
     if (this._table?.version !== routing.version) this._table = new RouteTable(routing)
     return this._table
   }
 }
 
-/** One of a route's services, by weight. */
+/** Draws one of the services of a route, in proportion to their weights. */
 export function chooseService (route: RoutingRoute, random: RandomSource): string {
   const totalWeight = route.services.reduce((sum, { weight }) => sum + weight, 0)
   let remainingWeight = random.real() * totalWeight
--- a/src/gateway/streamForwarder.ts
+++ b/src/gateway/streamForwarder.ts
@@ -1,7 +1,7 @@
 /**
- * Passes a streamed answer on as it comes. Until its first byte another
- * endpoint may be tried; afterwards only a route that may be resumed goes on
- * elsewhere, behind the last whole event, within the same answer.
+ * Forwards a streamed answer as it arrives. Until the first byte another
+ * endpoint may be tried; after that only a stream on a resumable route continues
+ * at another endpoint, after the last complete event, within the same answer.
  */
 import type { EndpointClient, StreamHead, StreamOutcome } from '../endpoints/endpointClient.js'
 import type { EndpointPool } from '../endpoints/endpointPool.js'
@@ -24,27 +24,27 @@
 import { waitOrRefuse, type WaitDecision } from './requestPolicy.js'
 import { chooseService } from './routeTable.js'
 
-/** Pause before endpoints that were all full are asked again. */
+/** Pause before the endpoints of a service are tried again after all of them were full. */
 const FULL_RETRY_MS = 20
 
 export interface StreamRequest extends ForwardRequest {
-  /** Id of the last event that the caller holds already. */
+  /** Id of the last event that the caller has already received. */
   afterEventId: number | undefined
 }
 
-/** Where the answer goes. */
+/** Receives the answer. */
 export interface StreamSink {
   head (head: StreamHead): void
-  /** Resolves when more may be written. */
+  /** Resolves when more may be written (backpressure). */
   write (bytes: Uint8Array): Promise<void>
 }
 
 export type StreamForwardOutcome =
-  /** The stream is whole. */
+  /** The complete stream was passed on. */
   | { kind: 'ended', endpointId: string }
-  /** The caller has part of it; its answer must not look complete. */
+  /** The caller has received part of the stream; its answer must not look complete. */
   | { kind: 'brokenOff', reason: string }
-  /** Nothing was passed on yet. */
+  /** Nothing was passed on as a stream. */
   | ForwardOutcome
 
 export interface StreamForwarderOptions {
@@ -64,7 +64,7 @@
     this._options = options
   }
 
-  /** @throws ScopeClosedError when the caller leaves first. */
+  /** @throws ScopeClosedError when the caller disconnects first. */
   async forward (request: StreamRequest, sink: StreamSink): Promise<StreamForwardOutcome> {
     return await new StreamRun(this._options, request, sink).run()
   }
@@ -83,7 +83,7 @@
   private _isHeadSent = false
   private _isStarted = false
   private _splitter = new EventStreamSplitter()
-  /** Tries that may have run. */
+  /** Tries that an endpoint ran or may have run. */
   private _ranCount = 0
 
   constructor (options: StreamForwarderOptions, request: StreamRequest, sink: StreamSink) {
@@ -130,7 +130,7 @@
     return this._refuse(RefusalReason.Quarantined, 0)
   }
 
-  /** A caller that has part of its answer waits for the rest. */
+  /** A caller that has received part of its answer always waits for the rest. */
   private _waitOrRefuse (): WaitDecision {
     const { progress } = this._request
     const { pool, random } = this._options
@@ -138,20 +138,20 @@
     return waitOrRefuse({ forecast: pool.forecast(this._service), waitedMs: progress.clock.nowMs() - this._startedAtMs, remainingMs: progress.remainingMs() }, random)
   }
 
-  /** A stream has begun to run with the first that comes of it. */
+  /** A stream counts as started with the first data that arrives. */
   private _notifyStarted (): void {
     if (!this._isStarted) this._request.onStarted?.(this._request.progress.clock.nowMs())
     this._isStarted = true
   }
 
-  /** One endpoint; undefined when another one may be tried. */
+  /** Tries one endpoint; returns undefined when another one may be tried. */
   private async _try (endpoint: FleetEndpoint): Promise<StreamForwardOutcome | undefined> {
     const { progress } = this._request
     const { pool } = this._options
     this._tried.add(endpoint.endpointId)
     const health = pool.health(endpoint.endpointId)
     const scope = progress.scope.child(`stream from ${endpoint.endpointId}`)
-    const cancelTimer = progress.clock.callAt(progress.deadlineMs, () => scope.close('time is up'))
+    const cancelTimer = progress.clock.callAt(progress.deadlineMs, () => scope.close('deadline passed'))
     const run = this._options.quarantine.begin(this._identity, endpoint)
     let isSettled = false
     const startedAtMs = progress.clock.nowMs()
@@ -166,7 +166,7 @@
         onData: chunk => this._onData(chunk)
       })
       isSettled = true
-      return this._onOutcome(run, this._splitter.isAtEventEnd || outcome.kind !== 'ended' ? outcome : { kind: 'broken', reason: 'ended within an event' }, startedAtMs)
+      return this._onOutcome(run, this._splitter.isAtEventEnd || outcome.kind !== 'ended' ? outcome : { kind: 'broken', reason: 'stream ended within an event' }, startedAtMs)
     } catch (error) {
       if (!(error instanceof ScopeClosedError) || progress.scope.isClosed) throw error
       this._ranCount++
@@ -179,7 +179,7 @@
     }
   }
 
-  /** The answer keeps the head of its first endpoint. */
+  /** The caller gets the head of the first endpoint; heads of later endpoints are dropped. */
   private _onHead (head: StreamHead): void {
     this._splitter = new EventStreamSplitter()
     if (this._isHeadSent) return
@@ -187,7 +187,7 @@
     this._sink.head(head)
   }
 
-  /** Passes whole events on; a route that cannot be resumed gets every byte at once. */
+  /** Passes on complete events only; on a route that cannot be resumed, every chunk is passed on at once. */
   private async _onData (chunk: Uint8Array): Promise<string | undefined> {
     this._notifyStarted()
     if (!this._request.route.isResumable) {
@@ -198,7 +198,7 @@
     if (!complete) return undefined
     const nextId = (this._lastEventId ?? 0) + 1
     const isOutOfSequence = complete.firstId !== undefined && this._lastEventId !== undefined && complete.firstId !== nextId
-    if (isOutOfSequence) return `event ${complete.firstId} where ${nextId} is next`
+    if (isOutOfSequence) return `got event ${complete.firstId}, expected ${nextId}`
     this._lastEventId = complete.lastId ?? this._lastEventId
     await this._sink.write(complete.bytes)
     return undefined
@@ -245,7 +245,7 @@
       this._ranCount++
       return this._onBroken(endpoint, detail)
     }
-    // It may be asked again when all the others were.
+    // A full endpoint may be tried again once all the others were.
     if (wasFull) this._tried.delete(endpoint.endpointId)
     return this._logFailure(endpoint, reason, detail)
   }
--- a/src/gateway/waitingTurns.ts
+++ b/src/gateway/waitingTurns.ts
@@ -1,12 +1,13 @@
 /**
- * The requests of one host that found every endpoint of their service full, and
- * which of them may try again. The pattern it answers: more requests than a
- * service has room for, from accounts of different priorities; tried again in any
- * order, an urgent one would be as likely to wait as the others.
+ * Queues the requests of one host that found every endpoint of their service
+ * full, and decides which of them may try again. It is needed when a service gets
+ * more requests than it has slots, from accounts of different priorities: if they
+ * were tried again in any order, an urgent request would be as likely to wait as
+ * the others.
  */
 import { StrideScheduler } from '../accounts/priorityShare.js'
 
-/** A request's place among those that wait. */
+/** The place of a request in the queue. */
 export interface QueueEntry {
   service: string
   priority: number
@@ -14,14 +15,14 @@
 
 interface ServiceQueue {
   scheduler: StrideScheduler
-  /** By priority, the earliest first. */
+  /** Waiting requests by priority, the earliest first. */
   waiting: Map<number, Set<QueueEntry>>
 }
 
 export class FairWaitQueue {
   private readonly _queues = new Map<string, ServiceQueue>()
 
-  /** The request found no room; it keeps the place that it has. */
+  /** Adds a request that found no free slot; one that is queued already keeps its place. */
   enqueue (entry: QueueEntry): void {
     const queue = this._queues.get(entry.service) ?? { scheduler: new StrideScheduler(), waiting: new Map<number, Set<QueueEntry>>() }
     const samePriority = queue.waiting.get(entry.priority) ?? new Set<QueueEntry>()
@@ -30,7 +31,7 @@
     this._queues.set(entry.service, queue)
   }
 
-  /** The request has got room. */
+  /** Removes a waiting request that got a slot and charges it to its priority. */
   served (entry: QueueEntry): void {
     const queue = this._queues.get(entry.service)
     const samePriority = queue?.waiting.get(entry.priority)
@@ -39,12 +40,12 @@
     this.leave(entry)
   }
 
-  /** The request waits no longer. */
+  /** Removes a request that has stopped waiting. */
   leave (entry: QueueEntry): void {
     this._queues.get(entry.service)?.waiting.get(entry.priority)?.delete(entry)
   }
 
-  /** Whether a request may try now, as far as those that go before it leave room. */
+  /** Whether a request may try now, given the slots that remain after the requests ahead of it. */
   mayTry (entry: QueueEntry, availableSlotsCount: number): boolean {
     const queue = this._queues.get(entry.service)
     const counts = new Map([...queue?.waiting ?? []].map(([priority, { size }]) => [priority, size]))
--- a/src/quarantine/endpointRuns.ts
+++ b/src/quarantine/endpointRuns.ts
@@ -1,8 +1,9 @@
 /**
- * What this host runs at each endpoint, and which endpoints ended under it. A
- * lost connection is no end yet: cuts, resets and drains lose connections as
- * well. An endpoint has ended when its address refuses connections after some
- * were lost there, or when another start of an endpoint has the address.
+ * Tracks the requests that this host runs at each endpoint and detects endpoints
+ * that terminate meanwhile. A lost connection alone does not prove it: network
+ * partitions, resets and drains lose connections as well. An endpoint counts as
+ * terminated when its address refuses connections after some were lost there, or
+ * when another incarnation of an endpoint has taken over the address.
  */
 import { LRUCache } from 'lru-cache'
 import { Listening, type EndpointClient } from '../endpoints/endpointClient.js'
@@ -14,28 +15,28 @@
 import type { RequestIdentity } from './requestIdentity.js'
 
 /**
- * When the address is looked at after a connection was lost: a process that ends
- * closes its connections and its listening socket within milliseconds, in any
- * order; one that is busy ending is found by the second look.
+ * Times after the loss of a connection at which the address is checked: a process
+ * that terminates closes its connections and its listening socket within
+ * milliseconds, in any order; one that takes longer is found by the second check.
  */
 const CHECK_DELAYS_MS = [15, 200]
 const CHECK_TIMEOUT_MS = 500
-/** A lost run is remembered so long for evidence that comes by itself: endpoints are back after some seconds. */
+/** How long a run with a lost connection is kept, in case the endpoint turns out to have terminated: endpoints are back after some seconds. */
 const LOST_RUN_RETENTION_MS = 3_000
-/** A request that its caller gave up may have done its harm already: ends were seen 50 to 120 ms after a run began. */
+/** How long an abandoned run is kept, as it may still terminate the endpoint: terminations were seen 50 to 120 ms after the start of a run. */
 const ABANDONED_RUN_RETENTION_MS = 300
-/** Ends of late; a run that is found lost afterwards belongs to one of them. */
+/** Recently terminated endpoints that are kept, so that a run whose connection is found lost afterwards is attributed to the termination. */
 const MAX_TERMINATED_IDS_COUNT = 256
 
 enum RunState {
   Open,
-  /** Its connection was lost. */
+  /** The connection was lost before an answer. */
   Lost,
-  /** This host gave it up. */
+  /** This host stopped waiting for the answer. */
   Abandoned
 }
 
-/** A request at an endpoint. */
+/** A request that was sent to an endpoint. */
 export interface EndpointRun {
   readonly endpoint: FleetEndpoint
   readonly identity: RequestIdentity
@@ -43,7 +44,7 @@
 
 interface TrackedRun extends EndpointRun {
   state: RunState
-  /** Starts that had the address when the connection was lost, besides its own. */
+  /** Other endpoints that had the same address when the connection was lost. */
   otherIdsAtLoss: string[]
 }
 
@@ -52,17 +53,17 @@
   clock: Clock
   client: Pick<EndpointClient, 'isListening'>
   supervisor: Supervisor
-  /** Told once of each end, and again of runs that are found lost later. */
+  /** Called once for each termination, and again for runs whose connections are found lost later. */
   onTerminated: (endpoint: FleetEndpoint, identities: RequestIdentity[]) => void
 }
 
 export class EndpointRuns {
   private readonly _options: EndpointRunsOptions
-  /** By the endpoint's id. */
+  /** Runs by the id of the endpoint. */
   private readonly _runs = new Map<string, Set<TrackedRun>>()
   private readonly _terminatedIds = new LRUCache<string, true>({ max: MAX_TERMINATED_IDS_COUNT })
   private readonly _checkedIds = new Set<string>()
-  /** Runs that are lost and not accounted for. */
+  /** Tracked runs in the state `Lost`. */
   private _lostCount = 0
 
   constructor (options: EndpointRunsOptions) {
@@ -70,7 +71,7 @@
     options.view.onChange(() => this._findReplacements())
   }
 
-  /** Runs that are remembered, open or closed. */
+  /** Number of tracked runs, open or closed. */
   get count (): number {
     return [...this._runs.values()].reduce((sum, runs) => sum + runs.size, 0)
   }
@@ -83,17 +84,17 @@
     return run
   }
 
-  /** It was answered, or it never ran. */
+  /** Stops tracking a run that was answered or that never ran. */
   done (run: EndpointRun): void {
     this._remove(run as TrackedRun)
   }
 
-  /** This host gave it up; it may run on. */
+  /** Records that this host no longer waits for the run; the endpoint may continue it. */
   abandoned (run: EndpointRun): void {
     this._close(run as TrackedRun, RunState.Abandoned)
   }
 
-  /** Its connection was lost before an answer. */
+  /** Records that the connection of the run was lost before an answer. */
   connectionLost (run: EndpointRun): void {
     const { endpoint } = run
     this._close(run as TrackedRun, RunState.Lost)
@@ -101,7 +102,7 @@
     else this._startCheck(endpoint)
   }
 
-  /** A connection to the endpoint was refused, or another has its address. */
+  /** Records that a connection to the endpoint was refused, or that another endpoint has its address. */
   endpointUnreachable (endpoint: FleetEndpoint): void {
     if (this._closedRuns(endpoint.endpointId).length > 0) this._endpointTerminated(endpoint)
   }
@@ -126,7 +127,7 @@
     if (runs.size === 0) this._runs.delete(endpointId)
   }
 
-  /** Runs that an end of the endpoint now would be held against. */
+  /** Runs that become suspects if the endpoint terminates now. */
   private _closedRuns (endpointId: string): TrackedRun[] {
     return [...this._runs.get(endpointId) ?? []].filter(({ state }) => state !== RunState.Open)
   }
@@ -135,7 +136,7 @@
     const { view, onTerminated } = this._options
     const runs = this._closedRuns(endpoint.endpointId)
     for (const run of runs) this._remove(run)
-    // It may close what it had not finished.
+    // An endpoint that leaves may close connections of requests that it has not finished.
     if (view.isLeaving(endpoint)) return
     this._terminatedIds.set(endpoint.endpointId, true)
     if (runs.length > 0) onTerminated(endpoint, runs.map(({ identity }) => identity))
@@ -145,7 +146,7 @@
     const { endpointId } = endpoint
     if (this._checkedIds.has(endpointId)) return
     this._checkedIds.add(endpointId)
-    this._options.supervisor.spawn(`look at ${endpointId}`, async scope => {
+    this._options.supervisor.spawn(`check ${endpointId}`, async scope => {
       try {
         await this._check(endpoint, scope)
       } finally {
@@ -165,7 +166,7 @@
     }
   }
 
-  /** Another start may have come to an address where runs were lost. */
+  /** Finds addresses with lost runs that another endpoint has taken over. */
   private _findReplacements (): void {
     if (this._lostCount === 0) return
     for (const runs of [...this._runs.values()]) {
--- a/src/quarantine/requestIdentity.ts
+++ b/src/quarantine/requestIdentity.ts
@@ -1,6 +1,6 @@
 /**
- * What makes one request the same as another: the caller's host, the method, the
- * path and the body. Its digest is worked out when somebody asks for it.
+ * Identity of a request: two requests are the same if host, method, path and body
+ * are equal. The digest is computed on first use.
  */
 import { digestOf, type RepeatedParts } from '../protocol/quarantine.js'
 
--- a/src/quarantine/requestQuarantine.ts
+++ b/src/quarantine/requestQuarantine.ts
@@ -1,13 +1,14 @@
 /**
- * Keeps requests that end endpoints away from them (a query of death: one caller
- * that repeats one takes a whole service from everybody). An endpoint's end makes
- * a suspect of all that ran there; an answer clears a request at once and
- * everywhere; three ends condemn it, on all hosts. With two ends a request goes on
- * alone among its like at an endpoint, so that the next end tells which of them it was.
+ * Withholds requests that terminate endpoints (queries of death: a single caller
+ * that repeats one makes a service unavailable to everybody). When an endpoint
+ * terminates, all requests that ran there become suspects; an answer clears a
+ * request at once and on all hosts; three terminations condemn it on all hosts.
+ * After two terminations a request is on probation: at most one such request runs
+ * at an endpoint, so that the next termination identifies the culprit.
  *
- * Measured by the model in tests/fleet/deadlyRequest (seed 11; one such request
- * each 0.7 s before four endpoints, 50 others a second): of the others 73 % were
- * served without this, 40 endpoints ended in 15 s.
+ * In the simulation of tests/fleet/deadlyRequest (seed 11; one such request every
+ * 0.7 s at four endpoints, 50 other requests a second), without the quarantine 73 %
+ * of the other requests were served and 40 endpoints terminated in 15 s.
  */
 import { LRUCache } from 'lru-cache'
 import type { EndpointClient, EndpointOutcome, ItemOutcome } from '../endpoints/endpointClient.js'
@@ -25,25 +26,26 @@
 import { RequestIdentity } from './requestIdentity.js'
 import { SuspectReports, type SuspectReportsOptions } from './suspectReports.js'
 
-/** Ends that this host saw and no control host has told of yet. */
+/** Suspects seen by this host that no control host has reported yet. */
 const MAX_OWN_SUSPECTS_COUNT = 1_024
 /**
- * Answers that are remembered, and how long: of a request that many callers send,
- * some are answered within a second or two of an end that it shared. Longer, and
- * one that turns deadly would be excused for as long.
+ * How many recent answers are kept, and for how long: when many callers send the
+ * same request, some are answered within a second or two of a termination that
+ * others ran into, which clears it. A longer retention would protect a request that
+ * starts to terminate endpoints for as long.
  */
 const MAX_ANSWERED_COUNT = 1_024
 const ANSWER_RETENTION_MS = 2_000
-/** With so many ends a request runs at an endpoint only while no other of its kind does, from this host. */
+/** From this number of terminations on, this host runs a request at an endpoint only while no other request on probation runs there. */
 const PROBATION_TERMINATIONS_COUNT = 2
 
 export enum RequestStanding {
   Free = 'free',
-  /** An endpoint ended under it: not beside another such request if that can be. */
+  /** An endpoint terminated while running it; other requests avoid the endpoints where it runs. */
   Suspected = 'suspected',
-  /** One end more condemns it: alone among its like. */
+  /** One more termination condemns it; at most one request on probation runs at an endpoint. */
   OnProbation = 'on_probation',
-  /** Goes to no endpoint. */
+  /** Sent to no endpoint. */
   Condemned = 'condemned'
 }
 
@@ -57,10 +59,10 @@
   submit: SuspectReportsOptions['submit']
 }
 
-/** What ends a run without an answer. */
+/** Outcomes of a run that got no answer. */
 export type UnansweredOutcome = Exclude<EndpointOutcome | ItemOutcome, { kind: 'answered' | 'finished' | 'failed' | 'impossible' }>
 
-/** A request while it runs at an endpoint. */
+/** A request that runs at an endpoint, with its status when it was started. */
 export interface QuarantinedRun extends EndpointRun {
   readonly status: RequestStanding
 }
@@ -69,14 +71,14 @@
   private readonly _options: RequestQuarantineOptions
   private readonly _runs: EndpointRuns
   private readonly _reports: SuspectReports
-  /** By digest, the endpoints whose ends this host saw. */
+  /** By digest, the ids of the endpoints that this host saw terminate. */
   private readonly _ownTerminations = new LRUCache<string, Set<string>>({ max: MAX_OWN_SUSPECTS_COUNT })
-  /** By digest, when an endpoint last answered it. */
+  /** By digest, when an endpoint last answered the request. */
   private readonly _answeredAtMs = new LRUCache<string, number>({ max: MAX_ANSWERED_COUNT })
-  /** Suspects that run now, by endpoint. */
+  /** Number of running requests by endpoint that are suspected or on probation. */
   private readonly _riskyCounts = new Map<string, number>()
   private readonly _withheldLogFilter: RepeatedNews
-  /** Requests on probation that run now, by endpoint. */
+  /** The running request on probation, by endpoint. */
   private readonly _probationRuns = new Map<string, QuarantinedRun>()
 
   constructor (options: RequestQuarantineOptions) {
@@ -89,7 +91,7 @@
   }
 
   start (): void {
-    this._options.supervisor.spawn('reports of ended endpoints', scope => this._reports.run(scope))
+    this._options.supervisor.spawn('reports of terminated endpoints', scope => this._reports.run(scope))
   }
 
   identify (request: RepeatedParts): RequestIdentity {
@@ -104,17 +106,17 @@
     return terminationsCount > 0 ? RequestStanding.Suspected : RequestStanding.Free
   }
 
-  /** False while another request on probation runs there from this host: the next end is to tell which it was. */
+  /** False while this host runs another request on probation there, so that the next termination identifies the culprit. */
   mayBegin (status: RequestStanding, { endpointId }: FleetEndpoint): boolean {
     return status !== RequestStanding.OnProbation || !this._probationRuns.has(endpointId)
   }
 
-  /** Runs that are remembered. */
+  /** Number of tracked runs. */
   get runsCount (): number {
     return this._runs.count
   }
 
-  /** Endpoints at which this host runs suspects: others had better go elsewhere. */
+  /** Endpoints where this host runs suspects, which other requests should avoid. */
   riskyEndpointIds (): ReadonlySet<string> {
     return new Set(this._riskyCounts.keys())
   }
@@ -127,13 +129,13 @@
     return run
   }
 
-  /** An endpoint answered with an error of its own. It may not have come to what ends it: that clears nothing. */
+  /** Records an error answer. It does not clear the request: the endpoint may have failed before the part that terminates it. */
   answeredWithError (run: QuarantinedRun): void {
     this._release(run)
     this._runs.done(run)
   }
 
-  /** An endpoint did the request, and outlived it. */
+  /** Records that the endpoint completed the request and survived it, which clears the request. */
   answered (run: QuarantinedRun): void {
     this._release(run)
     this._runs.done(run)
@@ -146,7 +148,7 @@
     this._reports.cleared(digest, isSuspected)
   }
 
-  /** The try brought no answer. */
+  /** Records that the run ended without an answer. */
   failed (run: QuarantinedRun, outcome: UnansweredOutcome): void {
     this._release(run)
     const { endpoint } = run
@@ -157,13 +159,13 @@
     if (isUnreachable) this._runs.endpointUnreachable(endpoint)
   }
 
-  /** This host gave the run up. */
+  /** Records that this host no longer waits for the run. */
   left (run: QuarantinedRun): void {
     this._release(run)
     this._runs.abandoned(run)
   }
 
-  /** A condemned request came again and goes to no endpoint. */
+  /** Counts a condemned request that was received again and is withheld; logs it at a limited rate. */
   noteHeldBack (identity: RequestIdentity, fields: { attemptId: string, route: string }): void {
     const { logger, metrics, view } = this._options
     const { digest } = identity
@@ -173,7 +175,7 @@
     logger.event(QuarantineEvent.RequestWithheld, { digest, endpointIds, ...fields })
   }
 
-  /** Ends that count against a request, by what this host was told and what it saw besides. */
+  /** Terminations that count against a request: those reported by control hosts, and others seen by this host. */
   private _terminationsCount (digest: string): number {
     const notice = this._options.view.quarantine.get(digest)
     const own = this._ownTerminations.get(digest)
@@ -186,7 +188,7 @@
     const isExpired = this._options.clock.wallMs() - notice.endedAtMs > QUARANTINE_MS
     const { length } = notice.endpointIds
     if (notice.verdict === QuarantineVerdict.Condemned) return isExpired && unreportedCount === 0 ? CONDEMNING_ENDS_COUNT - 1 : length
-    // As many as condemn, and yet not condemned: others account for them.
+    // Enough terminations to condemn the request, but it is not condemned: other requests account for them.
     return isExpired ? 0 : Math.min(length, CONDEMNING_ENDS_COUNT - 1)
   }
 
--- a/src/quarantine/suspectReports.ts
+++ b/src/quarantine/suspectReports.ts
@@ -1,9 +1,9 @@
 /**
- * Tells the control hosts under which requests endpoints ended, and which of
- * those were answered after all. A data centre of endpoints that goes loses
- * hundreds of requests at once, nearly all of which are answered by the next
- * endpoint and never heard of again, so a first end waits for that; the log of
- * the control hosts gets one entry for what is left.
+ * Reports to the control hosts which requests ran on terminated endpoints, and
+ * which of those were answered after all. When all endpoints of a data centre
+ * terminate, hundreds of requests are lost at once; nearly all of them are answered
+ * by the next endpoint and need no report. A first termination is therefore
+ * reported with a delay, and the log of the control hosts gets one entry for the rest.
  */
 import { MAX_DIGESTS_PER_END, MAX_ENDS_PER_REPORT, type EndedEndpoint } from '../protocol/quarantine.js'
 import { RoutingCommandKind, type RoutingCommand } from '../protocol/routingCommands.js'
@@ -14,24 +14,24 @@
 import { Signal } from '../utils/signal.js'
 import { QuarantineEvent } from './quarantineEvents.js'
 
-/** What else ended at the same moment goes into the same report. */
+/** Delay that lets simultaneous terminations share one report. */
 const BATCHING_DELAY_MS = 10
-/** Room for the next endpoint's answer to an innocent request; a twentieth of the 3 s within which all hosts have to hear of a third end. Chosen, not measured. */
+/** Time for another endpoint to answer an innocent request; a twentieth of the 3 s within which all hosts must know of a third termination. */
 const FIRST_TERMINATION_DELAY_MS = 150
-/** One line in the log for so long without a quorum; then it is tried again: the ends of before count with those to come. */
+/** Without a quorum, one event is logged per interval and the report is repeated, so that earlier terminations count together with later ones. */
 const REPORT_TIMEOUT_MS = 10_000
 const MAX_CLEARED_PER_REPORT = 128
 
 export interface SuspectReportsOptions {
   clock: Clock
   logger: Logger
-  /** Commits a command; true once a quorum has it, false when the time of the progress is over. */
+  /** Commits a command; resolves with true once a quorum has it, with false when the deadline of `progress` passes first. */
   submit: (command: RoutingCommand, progress: Progress) => Promise<boolean>
 }
 
 export class SuspectReports {
   private readonly _options: SuspectReportsOptions
-  /** Digests by the endpoint that ended. */
+  /** Digests of the requests that ran there, by terminated endpoint. */
   private readonly _terminations = new Map<string, Set<string>>()
   private readonly _cleared = new Set<string>()
   private readonly _scheduled = new Signal()
@@ -42,7 +42,7 @@
     this._options = options
   }
 
-  /** @param isFirst no other end of the request is known: what it does next is worth waiting for */
+  /** @param isFirst no other termination is known for the request, so the report waits for an answer that may clear it */
   ended (endpointId: string, digest: string, isFirst: boolean): void {
     const digests = this._terminations.get(endpointId) ?? new Set()
     if (digests.size >= MAX_DIGESTS_PER_END || (!this._terminations.has(endpointId) && this._terminations.size >= MAX_ENDS_PER_REPORT)) {
@@ -54,7 +54,10 @@
     this._scheduleWithin(isFirst ? FIRST_TERMINATION_DELAY_MS : BATCHING_DELAY_MS)
   }
 
-  /** The request was answered. @param isReported the control hosts may know of an end */
+  /**
+   * Drops a request that was answered from the pending report.
+   * @param isReported the control hosts may know of a termination, so they are told that the request is cleared
+   */
   cleared (digest: string, isReported: boolean): void {
     for (const [endpointId, digests] of this._terminations) {
       if (digests.delete(digest) && digests.size === 0) this._terminations.delete(endpointId)
@@ -64,7 +67,7 @@
     this._scheduleWithin(BATCHING_DELAY_MS)
   }
 
-  /** Reports until the scope closes. */
+  /** Sends reports until the scope closes. */
   async run (scope: Scope): Promise<void> {
     const { clock } = this._options
     for (;;) {
@@ -88,7 +91,7 @@
     this._terminations.clear()
     this._cleared.clear()
     this._logDropped()
-    // What was answered since counts for more than the ends before it.
+    // Sent after the terminations, so that an answer overrides the terminations before it.
     if (ends.length > 0) await this._submit({ kind: RoutingCommandKind.NoteEnds, ends }, scope)
     if (digests.length > 0) await this._submit({ kind: RoutingCommandKind.ClearSuspects, digests }, scope)
   }
