--- a/src/quarantine/endpointRuns.ts
+++ b/src/quarantine/endpointRuns.ts
@@ -76,7 +76,7 @@
     return [...this._runs.values()].reduce((sum, runs) => sum + runs.size, 0)
   }
 
-  start (endpoint: FleetEndpoint, identity: RequestIdentity): EndpointRun {
+  startRun (endpoint: FleetEndpoint, identity: RequestIdentity): EndpointRun {
     const run: TrackedRun = { endpoint, identity, state: RunState.Open, otherIdsAtLoss: [] }
     const runs = this._runs.get(endpoint.endpointId) ?? new Set()
     runs.add(run)
--- a/src/quarantine/requestQuarantine.ts
+++ b/src/quarantine/requestQuarantine.ts
@@ -124,7 +124,7 @@
   begin (identity: RequestIdentity, endpoint: FleetEndpoint): QuarantinedRun {
     const status = this.standingOf(identity)
     if (status !== RequestStanding.Free) this._countRisk(endpoint.endpointId, 1)
-    const run = Object.assign(this._runs.start(endpoint, identity), { status })
+    const run = Object.assign(this._runs.startRun(endpoint, identity), { status })
     if (status === RequestStanding.OnProbation) this._probationRuns.set(endpoint.endpointId, run)
     return run
   }
--- a/tests/accounts/admission.test.ts
+++ b/tests/accounts/admission.test.ts
@@ -23,19 +23,19 @@
 const unknownDigest = digestOfKey('nobody has this')
 
 const cases: Array<[string, CallContext, typeof lenient, Admission]> = [
-  ['a key in the name of its holder', caller(), lenient, learners],
+  ['a key for the account that it belongs to', caller(), lenient, learners],
   ['every key of an account', caller({ keyDigest: digestOfKey('another key of learners') }), lenient, learners],
-  ['anybody where callers need no key', caller({ accounts: undefined, keyDigest: undefined }), lenient, { kind: 'open' }],
-  ['a public route without a key in nobody\'s name', caller({ isPublic: true, keyDigest: undefined }), lenient, nobody],
-  ['a public route with an unknown key in nobody\'s name', caller({ isPublic: true, keyDigest: unknownDigest }), lenient, nobody],
-  ['a public route with a known key in the name of its holder', caller({ isPublic: true }), lenient, learners],
+  ['every caller where callers need no key', caller({ accounts: undefined, keyDigest: undefined }), lenient, { kind: 'open' }],
+  ['a public route without a key for no account', caller({ isPublic: true, keyDigest: undefined }), lenient, nobody],
+  ['a public route with an unknown key for no account', caller({ isPublic: true, keyDigest: unknownDigest }), lenient, nobody],
+  ['a public route with a known key for the account that it belongs to', caller({ isPublic: true }), lenient, learners],
   ['no caller without a key', caller({ keyDigest: undefined }), lenient, { kind: 'refused', reason: AdmissionProblem.MissingKey }],
-  ['no unknown key while the host is in touch', caller({ keyDigest: unknownDigest, disconnectedMs: CONNECTED_WITHIN_MS }), lenient, { kind: 'refused', reason: AdmissionProblem.UnknownKey }],
-  ['an unknown key later, once the host is in touch again', caller({ keyDigest: unknownDigest, disconnectedMs: CONNECTED_WITHIN_MS + 1 }), lenient, { kind: 'unsure', reason: AdmissionProblem.UnknownKey }],
-  ['a known key at a host out of touch where revocation is lenient', caller({ disconnectedMs: Number.POSITIVE_INFINITY }), lenient, learners],
+  ['no unknown key while the host is connected', caller({ keyDigest: unknownDigest, disconnectedMs: CONNECTED_WITHIN_MS }), lenient, { kind: 'refused', reason: AdmissionProblem.UnknownKey }],
+  ['an unknown key later, once the host is connected again', caller({ keyDigest: unknownDigest, disconnectedMs: CONNECTED_WITHIN_MS + 1 }), lenient, { kind: 'unsure', reason: AdmissionProblem.UnknownKey }],
+  ['a known key at a disconnected host where revocation is lenient', caller({ disconnectedMs: Number.POSITIVE_INFINITY }), lenient, learners],
   ['a known key up to the bound where revocation is strict', caller({ disconnectedMs: 5_000 }), strict, learners],
   ['no known key beyond the bound where revocation is strict', caller({ disconnectedMs: 5_001 }), strict, { kind: 'unsure', reason: AdmissionProblem.Disconnected }],
-  ['a public route beyond that bound in nobody\'s name', caller({ disconnectedMs: 5_001, isPublic: true }), strict, nobody]
+  ['a public route beyond that bound for no account', caller({ disconnectedMs: 5_001, isPublic: true }), strict, nobody]
 ]
 
 for (const [what, call, policy, expected] of cases) {
@@ -59,7 +59,7 @@
   t.false(keyName?.includes(KEY))
 })
 
-test('should tell digests apart that begin alike', t => {
+test('should distinguish digests with the same beginning', t => {
   const digest = digestOfKey(KEY)
   const alike = shortDigest(digest) + digestOfKey('other').slice(shortDigest(digest).length)
   t.false(isSameDigest(digest, alike))
--- a/tests/accounts/keyHandover.test.ts
+++ b/tests/accounts/keyHandover.test.ts
@@ -11,21 +11,21 @@
 }
 
 for (const [name, policy] of [['lenient', lenient], ['strict', strict]] as const) {
-  test(`should refuse no good key, and let none outlive its removal, over hand-overs and cuts where revocation is ${name}`, t => {
+  test(`should refuse no valid key and admit no revoked one, over key hand-overs and partitions, where revocation is ${name}`, t => {
     const { violations, callsCount } = violationsOf({ policy })
     t.true(callsCount > 10_000)
     t.deepEqual(violations, [])
   })
 }
 
-// Guards against a host that was cut off refusing keys for good that were added meanwhile.
-test('should fail the model with hosts that believe they are always in touch', t => {
-  const { violations } = violationsOf({ policy: lenient, outOfTouchMs: () => 0 })
-  t.true(violations.some(text => text.startsWith('a good key was refused for good')))
+// Guards against a disconnected host that definitively refuses keys that were added meanwhile.
+test('should detect hosts that always consider themselves connected', t => {
+  const { violations } = violationsOf({ policy: lenient, disconnectedMs: () => 0 })
+  t.true(violations.some(text => text.startsWith('a valid key was refused definitively')))
 })
 
-// Guards against strict revocation that nobody applies.
-test('should fail the model where strict revocation is not applied', t => {
-  const { violations } = violationsOf({ policy: strict, outOfTouchMs: trueMs => Math.min(trueMs, strict.revokeMs) })
-  t.true(violations.some(text => text.startsWith('a key outlived its removal beyond the strict bound')))
+// Guards against a strict revocation setting without effect.
+test('should detect hosts that do not apply strict revocation', t => {
+  const { violations } = violationsOf({ policy: strict, disconnectedMs: trueMs => Math.min(trueMs, strict.revokeMs) })
+  t.true(violations.some(text => text.startsWith('a revoked key was admitted beyond the strict bound')))
 })
--- a/tests/duties/usageTally.test.ts
+++ b/tests/duties/usageTally.test.ts
@@ -11,7 +11,7 @@
   return new UsageCounter({ clock, windowMs: WINDOW_MS, wallAt: nowMs => nowMs, incarnation })
 }
 
-test('should count a request in the window in which an endpoint began it', async t => {
+test('should count a request in the window in which an endpoint started it', async t => {
   const clock = new VirtualClock()
   const counter = counterOf(clock)
   const request = counter.open('learners')
@@ -23,7 +23,7 @@
   t.deepEqual(counter.reportSince(0).report.windows, [{ windowId: 0, counts: { learners: 1 } }])
 })
 
-test('should tell only what changed since a revision, as sums', async t => {
+test('should report only what changed since a revision, as totals', async t => {
   const clock = new VirtualClock()
   const counter = counterOf(clock)
   counter.open('a').began(0)
@@ -33,7 +33,7 @@
   t.deepEqual(counter.reportSince(revision).report.windows, [{ windowId: 0, counts: { a: 2 } }])
 })
 
-test('should call no window settled while a request that came in it is open', async t => {
+test('should not settle a window while a request that arrived in it is open', async t => {
   const clock = new VirtualClock()
   const counter = counterOf(clock)
   const request = counter.open('a')
@@ -43,7 +43,7 @@
   t.is(counter.reportSince(0).report.settledBefore, 2)
 })
 
-test('should add up hosts and their starts, and change nothing by a report that comes twice', t => {
+test('should add up hosts and their incarnations, and ignore duplicate reports', t => {
   const tally = new UsageTally()
   const report = { incarnation: 'first', settledBefore: 0, windows: [{ windowId: 0, counts: { a: 2, constructor: 1 } }] }
   tally.learn('h1', report)
@@ -59,7 +59,7 @@
   t.deepEqual(tally.countsOf(0), {})
 })
 
-test('should keep the content of a window that was closed, over a snapshot too', t => {
+test('should keep the content of a closed window, also over a snapshot', t => {
   const ledger = new UsageLedger()
   ledger.apply({ kind: UsageCommandKind.Claim, holder: 'c1' })
   ledger.apply({ kind: UsageCommandKind.Close, windowId: 7, counts: { a: 1 } })
--- a/tests/endpoints/endpointHealth.test.ts
+++ b/tests/endpoints/endpointHealth.test.ts
@@ -7,43 +7,43 @@
 interface World {
   clock: VirtualClock
   health: EndpointHealth
-  /** For how long it was left out, each time. */
-  leftOutMs: number[]
+  /** The duration of each ejection. */
+  ejectionsMs: number[]
 }
 
 function world (isWidespread = false): World {
   const clock = new VirtualClock()
-  const leftOutMs: number[] = []
-  const health = new EndpointHealth({ clock, onEjected: (_reason, forMs) => leftOutMs.push(forMs), isWidespread: () => isWidespread })
-  return { clock, health, leftOutMs }
+  const ejectionsMs: number[] = []
+  const health = new EndpointHealth({ clock, onEjected: (_reason, forMs) => ejectionsMs.push(forMs), isWidespread: () => isWidespread })
+  return { clock, health, ejectionsMs }
 }
 
-/** Fails what began now, after a moment. */
+/** Starts a call now and fails it 1 ms later. */
 async function fail ({ clock, health }: World): Promise<void> {
   const beganAtMs = clock.nowMs()
   await clock.advance(1)
   health.failed(FailureReason.Broken, beganAtMs)
 }
 
-test('should count what was under way at one instant as one failure', async t => {
-  const { clock, health, leftOutMs } = world()
+test('should count failures of requests that were in flight at the same time as one', async t => {
+  const { clock, health, ejectionsMs } = world()
   await clock.advance(1_000)
   for (let beganAtMs = 0; beganAtMs < 800; beganAtMs += 100) health.failed(FailureReason.Broken, beganAtMs)
-  t.deepEqual(leftOutMs, [FIRST_EJECTION_MS])
+  t.deepEqual(ejectionsMs, [FIRST_EJECTION_MS])
 })
 
-test('should leave an endpoint out for twice as long after each failed trial, up to a bound', async t => {
+test('should eject an endpoint for twice as long after each failed probe, up to a bound', async t => {
   const all = world()
   for (let round = 0; round < 7; round++) {
     await fail(all)
     t.true(all.health.isSuspect)
-    await all.clock.advance(all.leftOutMs.at(-1) ?? 0)
+    await all.clock.advance(all.ejectionsMs.at(-1) ?? 0)
     t.false(all.health.isSuspect)
   }
-  t.deepEqual(all.leftOutMs, [100, 200, 400, 800, 1_600, MAX_EJECTION_MS, MAX_EJECTION_MS])
+  t.deepEqual(all.ejectionsMs, [100, 200, 400, 800, 1_600, MAX_EJECTION_MS, MAX_EJECTION_MS])
 })
 
-test('should let one request at a time try an endpoint that failed, until something comes from it', async t => {
+test('should let one request at a time probe an endpoint that failed, until it responds', async t => {
   const all = world()
   await fail(all)
   await all.clock.advance(FIRST_EJECTION_MS)
@@ -52,14 +52,14 @@
   all.health.began()
   t.false(all.health.isOpen)
   await all.clock.advance(PROBE_TIMEOUT_MS)
-  t.true(all.health.isOpen, 'a trial without an outcome does not keep others off for good')
+  t.true(all.health.isOpen, 'a probe without an outcome does not block others permanently')
   all.health.began()
   all.health.worked()
   t.true(all.health.isOpen)
   t.false(all.health.isOnTrial)
 })
 
-test('should be tried again after a moment when most endpoints of the service fail', async t => {
+test('should be tried again after the shortest ejection when most endpoints of the service fail', async t => {
   const all = world(true)
   for (let round = 0; round < 5; round++) {
     await fail(all)
@@ -68,8 +68,8 @@
   }
 })
 
-test('should leave an endpoint out that fails different requests in a row, not for a single one', async t => {
-  const { clock, health, leftOutMs } = world()
+test('should eject an endpoint that fails different requests in a row, but not for a single one', async t => {
+  const { clock, health, ejectionsMs } = world()
   const fails = async (subject: string): Promise<void> => {
     const beganAtMs = clock.nowMs()
     await clock.advance(1)
@@ -77,17 +77,17 @@
   }
   await fails('a')
   await fails('a')
-  t.deepEqual(leftOutMs, [])
+  t.deepEqual(ejectionsMs, [])
   health.accepted()
   await fails('b')
-  t.deepEqual(leftOutMs, [], 'one that went well lies between them')
+  t.deepEqual(ejectionsMs, [], 'a request was accepted between them')
   await fails('c')
-  t.deepEqual(leftOutMs, [FIRST_EJECTION_MS])
+  t.deepEqual(ejectionsMs, [FIRST_EJECTION_MS])
   health.worked()
-  t.true(health.isSuspect, 'that it is reached says nothing of what it makes of requests')
+  t.true(health.isSuspect, 'a reachable endpoint may still fail requests')
 })
 
-test('should take back one failure with each request that goes well', async t => {
+test('should take back one failure with each accepted request', async t => {
   const { clock, health } = world()
   for (let round = 0; round < 4; round++) {
     const beganAtMs = clock.nowMs()
@@ -102,7 +102,7 @@
   t.false(health.isOnTrial)
 })
 
-test('should excuse an endpoint when another one fails the same request', async t => {
+test('should not count an error of an endpoint when another one fails the same request', async t => {
   const first = world()
   const second = world()
   for (const subject of ['a', 'b', 'c']) {
@@ -115,5 +115,5 @@
     t.is(account.failuresCount, 2)
     t.is(account.endpointsCount, 2)
   }
-  t.deepEqual([...first.leftOutMs, ...second.leftOutMs], [])
+  t.deepEqual([...first.ejectionsMs, ...second.ejectionsMs], [])
 })
--- a/tests/engineSupply/engineSupply.test.ts
+++ b/tests/engineSupply/engineSupply.test.ts
@@ -10,7 +10,7 @@
 import { seededRandom } from '../../src/utils/randomSource.js'
 import { Scope } from '../../src/utils/scope.js'
 import { engine } from '../fixtures/fleet/fleetFixtures.js'
-import { InfrastructureJudge } from '../fixtures/infrastructureJudge.js'
+import { CheckedInfrastructure } from '../fixtures/infrastructureJudge.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
 const LEASE_MS = 3_000
@@ -25,10 +25,10 @@
 
 class SupplyWorld {
   readonly clock = new VirtualClock()
-  readonly judge = new InfrastructureJudge(this.clock, seededRandom(1), LEASE_MS)
+  readonly infrastructure = new CheckedInfrastructure(this.clock, seededRandom(1), LEASE_MS)
   readonly ledger = new SupplyLedger()
   readonly endpoints: FleetEndpoint[] = []
-  /** Engines that the infrastructure starts for an order. */
+  /** Whether the infrastructure starts engines for an order. */
   startsEngines = true
   private _leader = new Scope('none')
 
@@ -36,7 +36,7 @@
     for (const dataCentre of ['north', 'south']) this._start(dataCentre, false, 2)
   }
 
-  /** A host leads from now on. */
+  /** Makes a host the leader. */
   lead (holder: string, term: number): void {
     this._leader.close('another leads')
     this._leader = new Scope(holder)
@@ -48,7 +48,7 @@
       metrics: memoryMetrics(),
       lease: new DutyLease({ clock: this.clock, leadership, holder, latestHolder: () => this.ledger.holder, leaseMs: LEASE_MS }),
       ledger: this.ledger,
-      infrastructure: this.judge,
+      infrastructure: this.infrastructure,
       holder,
       services: () => [service],
       endpointsOf: () => this.endpoints,
@@ -60,14 +60,14 @@
   }
 
   answer (outcome: DutyOutcome): void {
-    this.judge.answerOf = () => outcome
+    this.infrastructure.answerOf = () => outcome
   }
 
   async advance (byMs: number): Promise<void> {
     for (let passedMs = 0; passedMs < byMs; passedMs += 500) {
-      const seenCount = this.judge.orders.length
+      const seenCount = this.infrastructure.orders.length
       await this.clock.advance(500)
-      for (const { dataCentre, isReclaimable, desiredCount } of this.judge.orders.slice(seenCount)) {
+      for (const { dataCentre, isReclaimable, desiredCount } of this.infrastructure.orders.slice(seenCount)) {
         if (this.startsEngines) this._start(dataCentre, isReclaimable, desiredCount - this.countOf(dataCentre, isReclaimable))
       }
     }
@@ -77,7 +77,7 @@
     return this.endpoints.filter(known => known.dataCentre === dataCentre && known.isReclaimable === isReclaimable && known.lifecycle === EndpointLifecycle.Ready).length
   }
 
-  take (dataCentre: string, isReclaimable: boolean): void {
+  reclaim (dataCentre: string, isReclaimable: boolean): void {
     this.endpoints.splice(0, this.endpoints.length, ...this.endpoints.filter(known => known.dataCentre !== dataCentre || known.isReclaimable !== isReclaimable))
   }
 
@@ -86,34 +86,34 @@
   }
 }
 
-test('should order what the work needs once, and nothing more while it is there', async t => {
+test('should order the engines that the work needs once, and no more while they are present', async t => {
   const world = new SupplyWorld()
   world.lead('s1', 1)
   await world.advance(60_000)
-  t.deepEqual(world.judge.orders.map(({ dataCentre, isReclaimable, desiredCount }) => [dataCentre, isReclaimable, desiredCount]), [['north', true, 2], ['south', true, 2]])
-  t.deepEqual(world.judge.violations, [])
+  t.deepEqual(world.infrastructure.orders.map(({ dataCentre, isReclaimable, desiredCount }) => [dataCentre, isReclaimable, desiredCount]), [['north', true, 2], ['south', true, 2]])
+  t.deepEqual(world.infrastructure.violations, [])
 })
 
-test('should send an order again that got no clear answer, with the same content', async t => {
+test('should repeat an order that got no definite answer, with the same content', async t => {
   const world = new SupplyWorld()
   world.startsEngines = false
   world.answer({ kind: 'unknown', reason: 'lost' })
   world.lead('s1', 1)
   await world.advance(12_000)
-  t.true(world.judge.orders.length > 2)
-  t.deepEqual([...new Set(world.judge.orders.map(({ desiredCount }) => desiredCount))], [2])
+  t.true(world.infrastructure.orders.length > 2)
+  t.deepEqual([...new Set(world.infrastructure.orders.map(({ desiredCount }) => desiredCount))], [2])
 })
 
-test('should order engines again that were taken back, and ask a dry data centre only now and then', async t => {
+test('should order reclaimed engines again, and only rarely in a data centre without capacity', async t => {
   const world = new SupplyWorld()
   world.lead('s1', 1)
   await world.advance(10_000)
-  world.take('north', true)
+  world.reclaim('north', true)
   world.answer({ kind: 'conflict' })
   world.startsEngines = false
-  const orderedCount = world.judge.orders.length
+  const orderedCount = world.infrastructure.orders.length
   await world.advance(20_000)
-  const retriesCount = world.judge.orders.length - orderedCount
+  const retriesCount = world.infrastructure.orders.length - orderedCount
   t.true(retriesCount >= 2 && retriesCount <= 5, String(retriesCount))
   world.answer({ kind: 'done' })
   world.startsEngines = true
@@ -121,8 +121,8 @@
   t.is(world.countOf('north', true), 2)
 })
 
-// Guards against two leaders that order by turns, and against a successor that does not know what was ordered.
-test('should leave the duty to one host at a time over changes of the leader, and order the same', async t => {
+// Guards against two leaders that order alternately, and against a new leader that does not know the earlier orders.
+test('should let one host at a time send orders over changes of the leader, with the same content', async t => {
   const world = new SupplyWorld()
   world.answer({ kind: 'tooMany' })
   world.startsEngines = false
@@ -130,7 +130,7 @@
     world.lead(`s${term % 3}`, term)
     await world.advance(term % 4 === 0 ? 6_000 : 1_000)
   }
-  t.true(world.judge.callsCount > 10)
-  t.deepEqual(world.judge.violations, [])
-  t.deepEqual([...new Set(world.judge.orders.map(({ desiredCount }) => desiredCount))], [2])
+  t.true(world.infrastructure.callsCount > 10)
+  t.deepEqual(world.infrastructure.violations, [])
+  t.deepEqual([...new Set(world.infrastructure.orders.map(({ desiredCount }) => desiredCount))], [2])
 })
--- a/tests/fleet/deadlyRequest.test.ts
+++ b/tests/fleet/deadlyRequest.test.ts
@@ -1,21 +1,21 @@
 /**
- * A request that ends every endpoint that runs it is sent to no more of them once
- * three have ended, from whatever host it is sent, and what runs beside it is served.
+ * A request that terminates every endpoint that runs it must not be sent to any more
+ * of them once three have terminated, whichever host receives it, and the requests
+ * beside it must be served.
  *
- * Seen: a repeatable request came again and again, with the same caller, path and
- * body, at any host. Three endpoints had ended under it; it was sent on ten times
- * more, and 18 ended, four of four at a time. How it came about: each host tried it
- * on another endpoint when the first was lost, and with the answer all of that was
- * forgotten; an endpoint that was back under a new name at its address was a fresh
- * choice. Cause: what a request did to endpoints was remembered for one try of a
- * caller, by one host. Proved by the record: the caller's 502 came after as many ends
- * as the route allows attempts, and its next try did the same again elsewhere.
+ * Guards against terminations being remembered only for one try of a caller, by one
+ * host: a repeatable request with the same caller, path and body arrived again and
+ * again at any host. After three terminations it was sent another ten times, and 18
+ * endpoints terminated, four of four at a time. Each host tried it on another endpoint
+ * when the first was lost, up to the attempts that the route allows, and forgot it with
+ * the 502 to the caller; an endpoint that was back at its address under a new name
+ * counted as a new choice.
  */
 import test, { type ExecutionContext } from 'ava'
 import { RouteKind } from '../../src/protocol/routing.js'
 import { DeadlyRequestWorld, type WorldOptions } from '../fixtures/fleet/deadlyRequestWorld.js'
 
-/** What a deployment promises of hosts in touch: they know by then. */
+/** Required bound within which connected hosts know of a condemned request. */
 const CONTACT_MS = 3_000
 const MAX_LATE_SENDS_COUNT = 3
 const RUN_MS = 15_000
@@ -29,25 +29,25 @@
   return world
 }
 
-test('should send a request under which three endpoints ended to no more of them, from any host', async t => {
+test('should not send a request that terminated three endpoints to any more of them, from any host', async t => {
   const world = await start(t)
   await world.load(RUN_MS, { deadlyEachMs: 350, innocentEachMs: 50 })
   t.true(world.deadlyEnds().length >= 3)
   const late = world.lateSends(CONTACT_MS)
-  t.true(late.length <= MAX_LATE_SENDS_COUNT, `${late.length} sends later than ${CONTACT_MS} ms after the third end; ${world.deadlyEnds().length} ended`)
+  t.true(late.length <= MAX_LATE_SENDS_COUNT, `${late.length} sends later than ${CONTACT_MS} ms after the third termination; ${world.deadlyEnds().length} endpoints terminated`)
 })
 
-test('should serve the requests beside one that ends endpoints', async t => {
+test('should serve the requests beside one that terminates endpoints', async t => {
   const world = await start(t)
   await world.load(RUN_MS, { deadlyEachMs: 700, innocentEachMs: 20 })
-  // All four endpoints may end before the third end is known, and are away for 1.5 s of the 15.
-  t.true(world.innocentShare() >= 0.9, `${Math.round(100 * world.innocentShare())}% served; ${world.deadlyEnds().length} endpoints ended`)
+  // All four endpoints may terminate before the third termination is known, and are down for 1.5 s of the 15.
+  t.true(world.innocentShare() >= 0.9, `${Math.round(100 * world.innocentShare())}% served; ${world.deadlyEnds().length} endpoints terminated`)
 })
 
-test('should hold back a stream under which endpoints ended', async t => {
+test('should withhold a stream that terminated endpoints', async t => {
   const world = await start(t)
   await world.load(RUN_MS, { deadlyEachMs: 350, innocentEachMs: 50, changes: { kind: RouteKind.Stream, isResumable: true } })
   t.true(world.deadlyEnds().length >= 3)
   const late = world.lateSends(CONTACT_MS)
-  t.true(late.length <= MAX_LATE_SENDS_COUNT, `${late.length} sends later than ${CONTACT_MS} ms after the third end; ${world.deadlyEnds().length} ended`)
+  t.true(late.length <= MAX_LATE_SENDS_COUNT, `${late.length} sends later than ${CONTACT_MS} ms after the third termination; ${world.deadlyEnds().length} endpoints terminated`)
 })
--- a/tests/fleet/endpointDirectory.test.ts
+++ b/tests/fleet/endpointDirectory.test.ts
@@ -14,13 +14,13 @@
   return { clock, known: new EndpointDirectory(clock, HEARTBEAT_MS, leaves), leaves }
 }
 
-test('should tell of an endpoint once, and not of each heartbeat', t => {
+test('should announce an endpoint once, and not with each heartbeat', t => {
   const { known } = directory()
   t.is(known.heartbeat(endpoint('e1', { sequence: 1 })).kind, 'changed')
   t.is(known.heartbeat(endpoint('e1', { sequence: 2 })).kind, 'refreshed')
 })
 
-test('should tell again of an endpoint that was heard elsewhere in between', t => {
+test('should announce an endpoint again whose heartbeats were received elsewhere in between', t => {
   const { known } = directory()
   known.heartbeat(endpoint('e1', { sequence: 1 }))
   t.is(known.heartbeat(endpoint('e1', { sequence: 9 })).kind, 'changed')
@@ -40,13 +40,13 @@
   t.is(known.heartbeat(endpoint('e1', { sequence: 2 })).kind, 'outdated')
 })
 
-test('should remember an endpoint that took its leave before it was ever heard of', t => {
+test('should remember the leave of an endpoint that had not sent a heartbeat yet', t => {
   const { known } = directory()
   t.is(known.leave('e1'), undefined)
   t.is(known.heartbeat(endpoint('e1', { sequence: 3 })).kind, 'outdated')
 })
 
-test('should forget an endpoint that falls silent, with the last sequence heard', async t => {
+test('should expire an endpoint without heartbeats, with the last sequence received', async t => {
   const { clock, known } = directory()
   known.heartbeat(endpoint('e1', { sequence: 1 }))
   await clock.advance(3 * HEARTBEAT_MS)
@@ -57,7 +57,7 @@
   t.deepEqual(known.all(), [])
 })
 
-test('should take an endpoint that came back under its name for a new one, whose counts begin anew', t => {
+test('should treat an endpoint that restarted under its name as a new one, whose sequence starts again', t => {
   const { known } = directory()
   known.heartbeat(incarnation('e1', 1_000, { sequence: 40 }))
   const outcome = known.heartbeat(incarnation('e1', 2_000, { sequence: 1 }))
@@ -66,7 +66,7 @@
   t.deepEqual(known.all().map(({ endpointId }) => endpointId), ['e1@2000'])
 })
 
-test('should take an endpoint back at once that started again after it had left', t => {
+test('should accept an endpoint at once that restarted after it had left', t => {
   const { known } = directory()
   known.heartbeat(incarnation('e1', 1_000, { sequence: 7 }))
   known.leave('e1')
@@ -74,7 +74,7 @@
   t.is(known.heartbeat(incarnation('e1', 2_000, { sequence: 1 })).kind, 'changed')
 })
 
-test('should let a late heartbeat or leave of an earlier start change nothing', t => {
+test('should ignore a late heartbeat or leave of an earlier incarnation', t => {
   const { known } = directory()
   known.heartbeat(incarnation('e1', 2_000, { sequence: 3 }))
   t.is(known.heartbeat(incarnation('e1', 1_000, { sequence: 90, lifecycle: EndpointLifecycle.Leaving })).kind, 'outdated')
@@ -82,7 +82,7 @@
   t.like(known.all()[0], { endpointId: 'e1@2000', lifecycle: EndpointLifecycle.Ready })
 })
 
-test('should forget soon that an endpoint left which was never heard of, as it may have started again', async t => {
+test('should soon forget the leave of an unknown endpoint, as it may have restarted', async t => {
   const { clock, known } = directory()
   known.leave('e1')
   t.is(known.heartbeat(incarnation('e1', 1_000, { sequence: 9 })).kind, 'outdated')
@@ -90,7 +90,7 @@
   t.is(known.heartbeat(incarnation('e1', 2_000, { sequence: 9 })).kind, 'changed')
 })
 
-test('should not bring a start back that took its leave before it was ever heard of, while an earlier one is known', t => {
+test('should not accept an incarnation that left before its first heartbeat, while an earlier one is known', t => {
   const { known } = directory()
   known.heartbeat(incarnation('e1', 1_000, { sequence: 5 }))
   t.is(known.leave('e1', 2_000)?.endpointId, 'e1@1000')
--- a/tests/fleet/endpointLeaves.test.ts
+++ b/tests/fleet/endpointLeaves.test.ts
@@ -8,7 +8,7 @@
 
 const { Ready, Leaving, Gone } = EndpointLifecycle
 
-test('should note a leave once, however often and wherever it is repeated', t => {
+test('should record a leave once, however often and wherever it is repeated', t => {
   const leaves = new NotedLeaves()
   const first = leaves.note({ name: 'e1', bornAtMs: 0, lifecycle: Leaving })
   t.deepEqual(leaves.note({ name: 'e1', bornAtMs: 0, lifecycle: Leaving }), first)
@@ -17,13 +17,13 @@
   t.is(leaves.note({ name: 'e2', bornAtMs: 0, lifecycle: Leaving }).number, 3)
 })
 
-test('should note each leave that does not say which start it ends: it may be that of a later one', t => {
+test('should record every leave without an incarnation, as it may belong to a later one', t => {
   const leaves = new NotedLeaves()
   leaves.note({ name: 'e1', lifecycle: Gone })
   t.is(leaves.note({ name: 'e1', lifecycle: Gone }).number, 2)
 })
 
-test('should tell what was noted since, in order, and keep the latest', t => {
+test('should return the leaves recorded since a number, in order, and keep the latest', t => {
   const leaves = new NotedLeaves()
   for (let number = 1; number <= 1_100; number++) leaves.note({ name: `e${number}`, bornAtMs: 0, lifecycle: Gone })
   t.deepEqual(leaves.since(1_098).map(({ number }) => number), [1_099, 1_100])
@@ -32,7 +32,7 @@
   t.is(leaves.since(0)[0]?.number, 77)
 })
 
-test('should hold leaves in snapshots, and read those that have none', t => {
+test('should store leaves in snapshots, and read snapshots without any', t => {
   const state = new RoutingState()
   state.apply({ kind: RoutingCommandKind.NoteLeave, leave: { name: 'e1', bornAtMs: 5, lifecycle: Gone } }, NOW)
   const other = new RoutingState()
@@ -42,20 +42,20 @@
   t.deepEqual(other.leaves.all(), [])
 })
 
-test('should end the start that left and those before it, but none that came after', t => {
+test('should end the incarnation that left and those before it, but none that came after', t => {
   const known = new KnownLeaves()
   known.note({ number: 4, name: 'e1', bornAtMs: 2_000, lifecycle: Leaving }, undefined)
   t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 1_000 }), Gone)
   t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 2_000 }), Leaving)
   t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 3_000 }), Ready)
   known.note({ number: 5, name: 'e1', bornAtMs: 1_000, lifecycle: Gone }, undefined)
-  t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 2_000 }), Leaving, 'the leave of an earlier start comes late')
+  t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 2_000 }), Leaving, 'the leave of an earlier incarnation arrives late')
 })
 
-test('should end the start that is known by a leave that does not say which, once', t => {
+test('should end the known incarnation by a leave without an incarnation, once', t => {
   const known = new KnownLeaves()
   known.note({ number: 4, name: 'e1', lifecycle: Gone }, 1_000)
   known.note({ number: 4, name: 'e1', lifecycle: Gone }, 2_000)
   t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 1_000 }), Gone)
-  t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 2_000 }), Ready, 'told again by another control host after it came back')
+  t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 2_000 }), Ready, 'sent again by another control host after the endpoint came back')
 })
--- a/tests/fleet/fleetFollower.test.ts
+++ b/tests/fleet/fleetFollower.test.ts
@@ -53,7 +53,7 @@
   }
 }
 
-test('should put a first routing configuration into force only when a quorum has confirmed it', async t => {
+test('should apply a first routing configuration only when a quorum has confirmed it', async t => {
   const world = new World()
   const control = await world.control('10.0.0.1', { update: { routing: routing(3) } })
   world.follow([control.address])
@@ -64,7 +64,7 @@
   t.is(world.view.routing?.version, 3)
 })
 
-test('should ask again soon for a configuration that no quorum has confirmed yet, and no more than usual for others', async t => {
+test('should poll faster while no quorum has confirmed a configuration, and at the usual rate otherwise', async t => {
   const world = new World()
   const control = await world.control('10.0.0.1', { update: { routing: routing(3) } })
   world.follow([control.address])
@@ -77,7 +77,7 @@
   t.true(control.requests.length <= requestsCount + 3)
 })
 
-test('should take an unconfirmed configuration when no quorum confirms one for long, and a newer one at once', async t => {
+test('should accept an unconfirmed configuration after a long wait for a quorum, and a newer one at once', async t => {
   const world = new World()
   const control = await world.control('10.0.0.1', { update: { routing: routing(3) } })
   world.follow([control.address])
@@ -88,17 +88,17 @@
   t.is(world.view.routing?.version, 4)
 })
 
-test('should follow control hosts that it is told of, besides the seeds', async t => {
+test('should follow control hosts that replies list, in addition to the seeds', async t => {
   const world = new World()
-  const told = await world.control('10.0.0.2', { update: { endpoints: [endpoint('e1')] } })
-  const seed = await world.control('10.0.0.1', { controlAddresses: ['10.0.0.1:1', told.address] })
+  const listed = await world.control('10.0.0.2', { update: { endpoints: [endpoint('e1')] } })
+  const seed = await world.control('10.0.0.1', { controlAddresses: ['10.0.0.1:1', listed.address] })
   world.follow([seed.address])
   await world.clock.advance(1_500)
-  t.true(told.requests.length > 0)
+  t.true(listed.requests.length > 0)
   t.deepEqual(world.view.ready().map(({ endpointId }) => endpointId), ['e1'])
 })
 
-test('should replace a connection over which nothing is answered, and keep what it knows', async t => {
+test('should replace an unresponsive connection and keep its state', async t => {
   const world = new World()
   const control = await world.control('10.0.0.1', { isRoutingConfirmed: true, update: { routing: routing(3), endpoints: [endpoint('e1')] } })
   world.follow([control.address])
--- a/tests/fleet/fleetTime.test.ts
+++ b/tests/fleet/fleetTime.test.ts
@@ -13,13 +13,13 @@
 const ONE_WAY_MS = 2
 const STEP_MS = 10
 
-test('should take the middle of an odd number, and the mean of two of an even one', t => {
+test('should compute the median of an odd and of an even number of values', t => {
   t.is(median([3, 1, 2]), 2)
   t.is(median([4, 1, 2, 3]), 2.5)
   t.is(median([7]), 7)
 })
 
-test('should believe the answer that took least time, and most control hosts', async t => {
+test('should use the answer with the shortest round trip, and the majority of the control hosts', async t => {
   const clock = new VirtualClock()
   await clock.advance(10_000)
   const time = new FleetTime(clock)
@@ -37,7 +37,7 @@
   tally: UsageTally
 }
 
-/** Its time of day is true at first. */
+/** Its time of day is correct at first. */
 function controlHost (clock: HostClock): ControlHost {
   clock.setTimeOfDay(-clock.wallMs())
   return { clock, heard: new HeardClocks(clock), tally: new UsageTally() }
@@ -49,12 +49,12 @@
   time: FleetTime
   counter: UsageCounter
   isAlive: boolean
-  /** When within its interval it calls. */
+  /** Offset of its calls within the interval. */
   phaseMs: number
 }
 
-/** One call to each control host, and its answer. */
-function tell ({ id, own, time, counter }: CountingHost, controls: ControlHost[]): void {
+/** Calls each control host once and processes the answers. */
+function followOnce ({ id, own, time, counter }: CountingHost, controls: ControlHost[]): void {
   for (const [position, { heard, tally }] of controls.entries()) {
     heard.learn(id, own.wallMs() - ONE_WAY_MS)
     tally.learn(id, counter.reportSince(0).report)
@@ -67,16 +67,16 @@
 }
 
 interface ErrorOptions {
-  /** Share of hosts whose time of day is set ahead by 2 s halfway. */
+  /** Share of hosts whose time of day is set 2 s ahead halfway. */
   steppedShare: number
-  /** Hosts that die halfway, half a second after they told the last time at most. */
+  /** Number of hosts that are killed halfway, at most half a second after their last report. */
   killedCount: number
-  /** The hosts count by their own clocks, for mutants. */
+  /** Hosts count by their own clocks, to simulate a fault. */
   usesOwnClock?: boolean
 }
 
-/** Sixty hosts that count ten requests a second, before four control hosts, for a minute of which the clocks of some are off. */
-class CountedMinute {
+/** Simulates sixty hosts that count ten requests a second and report to four control hosts, for a minute during which some clocks are off. */
+class CountingSimulation {
   private readonly _clock = new VirtualClock()
   private readonly _random = seededRandom(11)
   private readonly _options: ErrorOptions
@@ -90,13 +90,13 @@
     this._hosts = Array.from({ length: 60 }, (_, position) => this._host(`e${position}`))
   }
 
-  /** The worst error of a window's counts. */
+  /** The largest relative error of the count of a window. */
   async worstError (): Promise<number> {
     for (let nowMs = 0; nowMs < 60_000; nowMs += STEP_MS) {
       await this._clock.advance(STEP_MS)
       if (nowMs === 30_000) this._disturb()
       for (const host of this._hosts) {
-        if (host.isAlive && (nowMs + host.phaseMs) % FOLLOW_INTERVAL_MS < STEP_MS) tell(host, this._controls)
+        if (host.isAlive && (nowMs + host.phaseMs) % FOLLOW_INTERVAL_MS < STEP_MS) followOnce(host, this._controls)
       }
       if (nowMs >= 2_000 && this._random.int(0, 9) === 0) this._request()
     }
@@ -114,7 +114,7 @@
 
   private _disturb (): void {
     const clocks = [...this._hosts.map(({ own }) => own), ...this._controls.map(({ clock }) => clock)]
-    for (const stepped of clocks.filter(() => this._random.real() < this._options.steppedShare)) stepped.setTimeOfDay(2_000)
+    for (const clock of clocks.filter(() => this._random.real() < this._options.steppedShare)) clock.setTimeOfDay(2_000)
     for (const host of this._hosts.slice(0, this._options.killedCount)) host.isAlive = false
   }
 
@@ -129,18 +129,18 @@
 }
 
 async function worstError (options: ErrorOptions): Promise<number> {
-  return await new CountedMinute(options).worstError()
+  return await new CountingSimulation(options).worstError()
 }
 
 test('should count each window to a hundredth while clocks are near true time', async t => {
   t.true(await worstError({ steppedShare: 0, killedCount: 0 }) < 0.025)
 })
 
-test('should count each window to a twentieth while a third of the clocks is two seconds off and hosts are killed', async t => {
+test('should count each window to within 5 % while a third of the clocks is two seconds off and hosts are killed', async t => {
   t.true(await worstError({ steppedShare: 0.3, killedCount: 6 }) < 0.05)
 })
 
-// Guards against counts by the clock of each host.
-test('should fail the bound with hosts that count by their own clocks', async t => {
+// Guards against counting by the clock of each host.
+test('should exceed the error bound with hosts that count by their own clocks', async t => {
   t.true(await worstError({ steppedShare: 0.3, killedCount: 0, usesOwnClock: true }) > 0.05)
 })
--- a/tests/fleet/fleetView.test.ts
+++ b/tests/fleet/fleetView.test.ts
@@ -19,14 +19,14 @@
   }
 }
 
-test('should never take an older routing configuration, whoever tells it', t => {
+test('should never accept an older routing configuration, whoever sends it', t => {
   const view = new FleetView(silentLogger)
   view.merge('control-1', { routing: routing(7) })
   view.merge('control-2', { routing: routing(5) })
   t.is(view.routing?.version, 7)
 })
 
-test('should keep an endpoint that leaves out for good, also when an outdated host calls it ready', t => {
+test('should never use a leaving endpoint again, even if an outdated host reports it as ready', t => {
   const view = new FleetView(silentLogger)
   view.merge('control-1', { endpoints: [endpoint('e1', { sequence: 4, lifecycle: EndpointLifecycle.Leaving })] })
   view.merge('control-2', { endpoints: [endpoint('e1', { sequence: 9 })] })
@@ -36,7 +36,7 @@
   t.deepEqual(ids(view), [])
 })
 
-test('should keep an endpoint that one host calls silent while another has heard it since', t => {
+test('should keep an endpoint that one host reports as silent while another has received a newer heartbeat', t => {
   const view = new FleetView(silentLogger)
   view.merge('control-1', { endpoints: [endpoint('e1', { sequence: 3 })] })
   view.merge('control-2', { endpoints: [endpoint('e1', { sequence: 8 })] })
@@ -46,7 +46,7 @@
   t.deepEqual(ids(view), [])
 })
 
-test('should name the store leader of the latest term, and none once nobody tells of it', t => {
+test('should return the store leader of the latest term, and none once no control host reports it', t => {
   const view = new FleetView(silentLogger)
   view.merge('control-1', { hosts: [storeHost('s1', 3, true)] })
   view.merge('control-2', { hosts: [storeHost('s2', 4, true)] })
@@ -55,7 +55,7 @@
   t.is(view.storeLeader()?.hostId, 's1')
 })
 
-test('should never go back behind a named version of weights', t => {
+test('should never go back to an older named version of weights', t => {
   const view = new FleetView(silentLogger)
   view.merge('control-1', { weights: [{ model: 'm', version: 6 }] })
   view.merge('control-2', { weights: [{ model: 'm', version: 5 }] })
@@ -63,7 +63,7 @@
   t.is(view.namedVersion('other'), 1)
 })
 
-test('should replace an endpoint by the same one started again, and never go back to the earlier start', t => {
+test('should replace an endpoint by its newer incarnation, and never go back to the earlier one', t => {
   const view = new FleetView(silentLogger)
   view.merge('control-1', { endpoints: [incarnation('e1', 1_000, { sequence: 50 })] })
   view.merge('control-2', { endpoints: [incarnation('e1', 2_000, { sequence: 1 })] })
@@ -73,7 +73,7 @@
   t.is(view.endpoint('e1@1000'), undefined)
 })
 
-test('should take an endpoint that started again after it was told to have left', t => {
+test('should accept an endpoint that restarted after it was reported to have left', t => {
   const view = new FleetView(silentLogger)
   view.merge('control-1', { endpoints: [incarnation('e1', 1_000, { lifecycle: EndpointLifecycle.Gone })] })
   view.merge('control-1', { endpoints: [incarnation('e1', 2_000)] })
--- a/tests/fleet/followerSessions.test.ts
+++ b/tests/fleet/followerSessions.test.ts
@@ -26,12 +26,12 @@
 const HEARTBEAT_MS = 1_200
 const SETTLE_MS = 3_000
 const LINK_DELAY_MS = 1
-/** A follower waits for 600 ms. */
+/** Longer than the 600 ms that a follower waits for a reply. */
 const LATE_REPLY_MS = 700
-/** Control hosts that nobody names any more are given up by then. */
+/** Control hosts that are no longer listed are not followed any more after this time. */
 const FORGOTTEN_AFTER_MS = 40_000
 
-/** One control host and any followers, over a network in memory that counts messages. */
+/** One control host and any number of followers, over an in-memory network that counts messages. */
 class World {
   readonly clock = new VirtualClock()
   readonly leaves = new NotedLeaves()
@@ -43,7 +43,7 @@
   readonly followers: FleetFollower[] = []
   readonly supervisors = new Map<string, Supervisor>()
   messagesCount = 0
-  /** How long confirmations take, one after the other; the later ones take no time. */
+  /** Delays of the next confirmations in order; later ones have none. */
   readonly confirmDelaysMs: number[] = []
   readonly sessions: FollowerSessions
   private _namedVersion = 1
@@ -120,14 +120,14 @@
   return view.hosts(HostRole.Entry).length + view.hosts(HostRole.Store).length
 }
 
-test('should let all hosts know each other after a start of all at one moment, with few messages for each', async t => {
+test('should let all hosts discover each other after a simultaneous start, with few messages for each', async t => {
   const world = new World()
   await world.start()
   const hostsCount = 60
   for (let number = 1; number <= hostsCount; number++) world.follow(number, HostRole.Entry)
   await world.clock.advance(SETTLE_MS)
   for (const view of world.views.values()) t.is(hostsKnown(view), hostsCount)
-  // Two calls a second and their replies, the whole list once, and pushes that take many changes together.
+  // Two calls a second and their replies, the complete list once, and pushes that combine many changes.
   t.true(world.messagesCount < hostsCount * 25, `${world.messagesCount} messages`)
 })
 
@@ -141,7 +141,7 @@
   t.is(hostsKnown(entry), 2)
 })
 
-test('should tell of a host that falls silent, and of one that comes back', async t => {
+test('should report a host that disconnects, and one that comes back', async t => {
   const world = new World()
   await world.start()
   const view = world.follow(1, HostRole.Entry)
@@ -171,7 +171,7 @@
   for (const view of world.views.values()) t.is(view.namedVersion('m'), 2)
 })
 
-test('should tell again what stood in a reply that came too late', async t => {
+test('should send the content of a reply again that arrived too late', async t => {
   const world = new World()
   await world.start()
   world.name(5)
@@ -183,10 +183,10 @@
   t.is(view.ready().length, 1)
   const follower = world.followers[0]
   await world.clock.advance(FORGOTTEN_AFTER_MS)
-  t.deepEqual(follower?.addresses, [CONTROL, OTHER_CONTROL], 'both control hosts that the reply named')
+  t.deepEqual(follower?.addresses, [CONTROL, OTHER_CONTROL], 'both control hosts that the reply listed')
 })
 
-test('should tell of new weights of an engine only where they decide something', async t => {
+test('should announce new weights of an engine only to store hosts', async t => {
   const world = new World()
   await world.start()
   const store = world.follow(1, HostRole.Store)
@@ -199,7 +199,7 @@
   t.is(entry.endpoint('e1')?.weights[0]?.version, 4)
 })
 
-test('should not bring an earlier start of an endpoint back on any host, when its last heartbeat comes late', async t => {
+test('should not bring an earlier incarnation of an endpoint back on any host when its last heartbeat is late', async t => {
   const world = new World()
   await world.start()
   const view = world.follow(1, HostRole.Entry)
--- a/tests/fleet/hostChanges.test.ts
+++ b/tests/fleet/hostChanges.test.ts
@@ -13,31 +13,31 @@
 }
 
 function updateFor (changes: HostChanges, follower: HostRole): FleetUpdate {
-  return changes.take().find(told => told.follower === follower)?.update ?? {}
+  return changes.take().find(sent => sent.follower === follower)?.update ?? {}
 }
 
-test('should tell each host once when all of a fleet start at one moment', t => {
+test('should send each host once when a whole fleet starts at the same time', t => {
   const changes = new HostChanges()
-  let toldCount = 0
+  let sentCount = 0
   for (let number = 0; number < FLEET_SIZE; number++) {
     changes.set(host(number))
-    if (number % 10 === 9) toldCount += updateFor(changes, HostRole.Entry).changedHosts?.length ?? 0
+    if (number % 10 === 9) sentCount += updateFor(changes, HostRole.Entry).changedHosts?.length ?? 0
   }
-  t.is(toldCount, FLEET_SIZE)
+  t.is(sentCount, FLEET_SIZE)
   t.deepEqual(changes.take(), [])
 })
 
-test('should tell store hosts of store hosts only, and entry hosts of all', t => {
+test('should send only store hosts to store hosts, and all hosts to entry hosts', t => {
   const changes = new HostChanges()
   changes.set(host(1))
   changes.set(host(2, HostRole.Store))
   t.deepEqual(changes.wholeFor(HostRole.Store).hosts?.map(({ hostId }) => hostId), ['h2'])
-  const told = new Map(changes.take().map(({ follower, update }) => [follower, update.changedHosts?.map(({ hostId }) => hostId)]))
-  t.deepEqual(told.get(HostRole.Entry), ['h1', 'h2'])
-  t.deepEqual(told.get(HostRole.Store), ['h2'])
+  const sentIds = new Map(changes.take().map(({ follower, update }) => [follower, update.changedHosts?.map(({ hostId }) => hostId)]))
+  t.deepEqual(sentIds.get(HostRole.Entry), ['h1', 'h2'])
+  t.deepEqual(sentIds.get(HostRole.Store), ['h2'])
 })
 
-test('should tell only the last of several changes of a host', t => {
+test('should send only the last of several changes of a host', t => {
   const changes = new HostChanges()
   changes.set(host(1))
   changes.set(host(1, HostRole.Entry, false))
@@ -48,7 +48,7 @@
 })
 
 for (const seed of [1, 2, 3, 4, 5]) {
-  test(`should leave a follower with the same hosts, whenever it came and whatever changed, seed ${seed}`, t => {
+  test(`should give every follower the same hosts, whenever it connected and whatever changed, seed ${seed}`, t => {
     const random = seededRandom(seed)
     const changes = new HostChanges()
     const views: FleetView[] = []
--- a/tests/fleet/leavingFuzz.test.ts
+++ b/tests/fleet/leavingFuzz.test.ts
@@ -3,10 +3,10 @@
 
 const RUNS_COUNT = Number(process.env.LEAVING_RUNS ?? 25)
 const FIRST_SEED = 1
-/** Runs in which nothing leaves would prove nothing. */
+/** Runs without leaves would prove nothing. */
 const LEAST_CONFIRMED_PER_RUN = 3
 
-test('should let no host in touch with a majority of the control hosts use an endpoint whose leave was confirmed, in random runs of failures', async t => {
+test('should let no host that is connected to a majority of the control hosts use an endpoint whose leave was confirmed, in random runs of failures', async t => {
   t.timeout(280_000)
   let confirmedCount = 0
   for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS_COUNT; seed++) {
--- a/tests/fleet/retirementRequest.test.ts
+++ b/tests/fleet/retirementRequest.test.ts
@@ -14,18 +14,18 @@
   return decideRetirement({ hostName: 's1', following, latelyLost, retirements, toleratedLosses: TOLERATED_LOSSES }).kind
 }
 
-test('should let a store host go while enough are left, and refuse when too few would be', t => {
+test('should let a store host retire while enough remain, and refuse when too few would', t => {
   t.is(decide(stores('s1', 's2', 's3', 's4')), 'begin')
   t.is(decide(stores('s1', 's2', 's3')), 'tooFewLeft')
   t.is(decide(stores('s1', 's2', 's3', 's4'), [], ['s4']), 'tooFewLeft')
 })
 
-test('should not refuse for good while hosts that it lost a moment ago may be connecting again', t => {
+test('should not refuse definitively while recently lost hosts may be reconnecting', t => {
   t.is(decide(stores('s1', 's2', 's3'), stores('s4')), 'unsure')
   t.is(decide(stores('s2', 's3', 's4'), stores('s1')), 'begin')
   t.is(decide([]), 'unsure', 'this control host has just started')
 })
 
-test('should know no host that never followed', t => {
+test('should not know a host that never followed', t => {
   t.is(decide(stores('s2', 's3')), 'unknownHost')
 })
--- a/tests/fleet/routingDelivery.test.ts
+++ b/tests/fleet/routingDelivery.test.ts
@@ -4,7 +4,7 @@
 const MEMBERS = ['10.1.0.1:1', '10.2.0.1:1', '10.3.0.1:1', '10.4.0.1:1']
 const FOLLOWERS = Array.from({ length: 89 }, (_, number) => `10.0.0.${number}`)
 
-test('should share 89 followers among four control hosts, and move only those of one that goes', t => {
+test('should distribute 89 followers over four control hosts, and move only those of a removed one', t => {
   const before = FOLLOWERS.map(follower => pusherOf(follower, MEMBERS))
   for (const member of MEMBERS) {
     const count = before.filter(pusher => pusher === member).length
@@ -16,7 +16,7 @@
   t.is(pusherOf('10.0.0.1', []), undefined)
 })
 
-test('should tell a new connection at once, and one that lacks it two calls later', t => {
+test('should send a configuration to a new connection at once, and to one that lacks it two calls later', t => {
   const delivery = new RoutingDelivery()
   t.true(delivery.takeCall(1, 2), 'the first call of a connection')
   t.false(delivery.takeCall(2, 3), 'it has just changed')
--- a/tests/fleet/routingPush.test.ts
+++ b/tests/fleet/routingPush.test.ts
@@ -1,9 +1,9 @@
 /**
- * A routing configuration may be large, and the links of a control host carry
- * a few megabytes a second. Seen: one of 1,700 routes that every control host
- * pushed to each of 89 hosts, and again with each call until they had it, took
- * longer than the 2.5 s after which it is to be in force, and an endpoint that
- * wanted to leave meanwhile was not confirmed.
+ * Guards against sending a large routing configuration more often than necessary:
+ * the links of a control host carry a few megabytes a second. A configuration of
+ * 1,700 routes that every control host pushed to each of 89 hosts, and again with each
+ * call until they had it, took longer than the 2.5 s after which it must be in force,
+ * and the leave of an endpoint was not confirmed meanwhile.
  */
 import test, { type ExecutionContext } from 'ava'
 import { RoutingCommandKind } from '../../src/protocol/routingCommands.js'
@@ -15,7 +15,7 @@
 const CONTROL_HOSTS_COUNT = 4
 const FOLLOWERS_COUNT = 8
 const SETTLE_MS = 3_000
-/** The shortest time that a deployment promises is 2,000 ms. */
+/** Below the shortest bound of a deployment, which is 2,000 ms. */
 const IN_FORCE_WITHIN_MS = 1_500
 const STORM_GAP_MS = 330
 const STORM_COUNT = 15
@@ -43,8 +43,8 @@
   return world.followers.map(({ view }) => view.routing?.version)
 }
 
-/** How often followers are told of a whole configuration from now on. */
-function countTold (world: LeavingWorld): () => number {
+/** Counts how often followers receive a complete configuration from now on. */
+function countReceived (world: LeavingWorld): () => number {
   let count = 0
   for (const { view } of world.followers) {
     const merge = view.merge.bind(view)
@@ -56,26 +56,26 @@
   return () => count
 }
 
-test('should tell each host of a new configuration by one control host, not by all', async t => {
+test('should send a new configuration to each host from one control host, not from all', async t => {
   const world = await start(t)
-  const told = countTold(world)
+  const receivedCount = countReceived(world)
   await replace(world, 2)
   await world.cluster.clock.advance(SETTLE_MS)
   t.deepEqual(versionsOf(world), Array.from({ length: FOLLOWERS_COUNT }, () => 2))
-  t.true(told() <= FOLLOWERS_COUNT, `${told()} times for ${FOLLOWERS_COUNT} hosts`)
+  t.true(receivedCount() <= FOLLOWERS_COUNT, `${receivedCount()} times for ${FOLLOWERS_COUNT} hosts`)
 })
 
-test('should not tell it again while it is on a slow way', async t => {
+test('should not send a configuration again while it is in transit on a slow link', async t => {
   const world = await start(t)
   world.cluster.network.faults = { lossPercent: 0, duplicatePercent: 0, minDelayMs: 250, maxDelayMs: 250 }
-  const told = countTold(world)
+  const receivedCount = countReceived(world)
   await replace(world, 2)
   await world.cluster.clock.advance(SETTLE_MS)
   t.deepEqual(versionsOf(world), Array.from({ length: FOLLOWERS_COUNT }, () => 2))
-  t.true(told() <= FOLLOWERS_COUNT, `${told()} times for ${FOLLOWERS_COUNT} hosts`)
+  t.true(receivedCount() <= FOLLOWERS_COUNT, `${receivedCount()} times for ${FOLLOWERS_COUNT} hosts`)
 })
 
-test('should bring every configuration of a storm of them to all hosts in time while a control host is down', async t => {
+test('should deliver every configuration of a rapid series to all hosts in time while a control host is down', async t => {
   const world = await start(t)
   const { cluster } = world
   const leader = await cluster.untilLeader()
--- a/tests/gateway/requestForwarder.test.ts
+++ b/tests/gateway/requestForwarder.test.ts
@@ -72,7 +72,7 @@
   t.true(clock.nowMs() < 200, `${clock.nowMs()} ms`)
 })
 
-test('should send one try to no more endpoints than the route allows', async t => {
+test('should try no more endpoints than the route allows', async t => {
   const { clock, endpoints, forward } = world(5)
   endpoints.onCall = () => ({ afterMs: 5, outcome: answered(500) })
   const outcome = await clock.advanceUntil(forward(route({ maxAttemptsCount: 2 })))
@@ -80,7 +80,7 @@
   t.like(outcome, { kind: 'answered', status: 500, failedAnswersCount: 2 })
 })
 
-test('should refuse as not run, within a quarter of the objective, what every endpoint has no room for', async t => {
+test('should refuse a request as not run, within a quarter of the objective, when every endpoint is full', async t => {
   const { clock, endpoints, forward } = world()
   endpoints.onCall = () => ({ afterMs: 1, outcome: { kind: 'notExecuted', status: 503, load: undefined } })
   const outcome = await clock.advanceUntil(forward())
@@ -88,14 +88,14 @@
   t.true(clock.nowMs() <= 70, `${clock.nowMs()} ms`)
 })
 
-test('should leave out an endpoint whose address another one has taken over', async t => {
+test('should stop using an endpoint whose address another one has taken over', async t => {
   const { clock, view, endpoints, forward } = world(2)
   endpoints.onCall = () => ({ afterMs: 1, outcome: endpoints.calls.length === 1 ? { kind: 'misdirected' } : answered() })
   t.is((await clock.advanceUntil(forward())).kind, 'answered')
   t.is(view.ready().length, 1)
 })
 
-test('should say that it is not known whether a request ran whose time is up', async t => {
+test('should report that a request may have run when its deadline passes', async t => {
   const { clock, endpoints, forward } = world()
   endpoints.onCall = () => ({ afterMs: 10_000, outcome: answered() })
   const outcome = await clock.advanceUntil(forward(route(), 300))
@@ -103,46 +103,46 @@
   t.is(clock.nowMs(), 300)
 })
 
-test('should tell endpoints the deadline of the caller, also at a later try', async t => {
+test('should send endpoints the deadline of the caller, also in later tries', async t => {
   const { clock, endpoints, forward } = world()
   endpoints.onCall = () => ({ afterMs: 50, outcome: endpoints.calls.length === 1 ? { kind: 'broken', reason: 'reset' } : answered() })
   await clock.advanceUntil(forward(route(), 800))
   t.deepEqual(endpoints.calls.map(({ deadlineMs }) => deadlineMs), [800, 800])
 })
 
-test('should end every try when the caller leaves', async t => {
+test('should cancel every try when the caller disconnects', async t => {
   const { clock, endpoints, forward } = world()
   endpoints.onCall = () => ({ afterMs: 1_000, outcome: answered() })
   const scope = new Scope('caller')
   const forwarded = forward(route(), 1_500, scope)
   await clock.advance(20)
-  scope.close('the caller hung up')
+  scope.close('the caller disconnected')
   await t.throwsAsync(clock.advanceUntil(forwarded))
   const callsCount = endpoints.calls.length
   await clock.advance(2_000)
   t.is(endpoints.calls.length, callsCount)
 })
 
-test('should refuse at once, with the time to come back, when no endpoint of the service is known', async t => {
+test('should refuse at once, with a retry delay, when no endpoint of the service is known', async t => {
   const { clock, forward } = world(0)
   const outcome = await clock.advanceUntil(forward())
   t.is(clock.nowMs(), 0)
   t.like(outcome, { kind: 'refused', executed: Executed.No, retryAfterMs: 500 })
 })
 
-test('should start few second tries when a service that was fast stops answering', async t => {
+test('should start few hedged tries when a service that was fast stops answering', async t => {
   const { clock, endpoints, forward } = world()
   endpoints.onCall = () => ({ afterMs: 20, outcome: answered() })
   for (let count = 0; count < 100; count++) await clock.advanceUntil(forward())
   const callsCount = endpoints.calls.length
   endpoints.onCall = () => ({ afterMs: 10_000, outcome: answered() })
   for (let count = 0; count < 200; count++) await clock.advanceUntil(forward(route(), 300))
-  // A tenth of 300 first tries, ten to begin with, and one every two seconds of the minute that this takes.
+  // The budget: a tenth of 300 first tries, ten initially, and one every two seconds of the minute that this takes.
   const secondTriesCount = endpoints.calls.length - callsCount - 200
   t.true(secondTriesCount <= 30 + 10 + 32, `${secondTriesCount} second tries`)
 })
 
-test('should learn from a service how long its requests take before it calls one late', async t => {
+test('should measure how long the requests of a service take before it counts one as late', async t => {
   const { clock, endpoints, forward } = world()
   endpoints.onCall = () => ({ afterMs: 300, outcome: answered() })
   for (let count = 0; count < 40; count++) await clock.advanceUntil(forward())
@@ -151,17 +151,17 @@
   t.is(endpoints.calls.length - callsCount, 20)
 })
 
-test('should not ask endpoints that refuse connections in a loop, and be served by the first that is back', async t => {
+test('should not retry endpoints that refuse connections in a tight loop, and use the first one that is back', async t => {
   const { clock, endpoints, forward } = world()
   endpoints.onCall = () => ({ afterMs: 1, outcome: clock.nowMs() < 900 ? { kind: 'unreached', reason: 'ECONNREFUSED', isRefused: true } : answered() })
   const outcome = await clock.advanceUntil(forward())
   t.is(outcome.kind, 'answered')
   t.true(clock.nowMs() < 1_000, `${clock.nowMs()} ms`)
-  // Each of the three at most once in 50 ms.
+  // Each of the three endpoints is tried at most once in 50 ms.
   t.true(endpoints.calls.length <= 3 * 900 / 50 + 3, `${endpoints.calls.length} tries`)
 })
 
-// An endpoint that failed at once counted as a fast one: its errors were taken for answers, and it drew all requests.
+// Guards against an endpoint that fails at once counting as a fast one: its errors were recorded like answers, and it attracted all requests.
 test('should not send most requests to an endpoint because it fails them fast', async t => {
   const { clock, endpoints, forward } = world()
   endpoints.onCall = ({ endpoint: { endpointId } }) => (endpointId === 'e0' ? { afterMs: 1, outcome: answered(500) } : { afterMs: 40, outcome: answered() })
@@ -175,7 +175,7 @@
   t.true(outcomes.every(outcome => outcome.kind === 'answered' && outcome.status === 200))
 })
 
-// Requests in flight at one endpoint that ended with one reset counted as that many failures, and it was left out for eight seconds.
+// Guards against counting each request that one reset interrupted as a failure of its own, which ejected the endpoint for eight seconds.
 test('should use an endpoint again soon after many requests lost their connections at one instant', async t => {
   const { clock, endpoints, forward } = world()
   let isReset = true
--- a/tests/gateway/streamForwarder.test.ts
+++ b/tests/gateway/streamForwarder.test.ts
@@ -49,7 +49,7 @@
   }
 }
 
-test('should pass every piece on as it comes, before the next one is made', async t => {
+test('should pass on every chunk as it arrives, before the next one is produced', async t => {
   const world = new World()
   world.endpoints.onStream = () => script(['id: 1\nda', 'ta: piece 1\n\n', event(2)], ended, 50)
   const outcome = world.forward(plain)
@@ -59,7 +59,7 @@
   t.is(world.text, event(1) + event(2))
 })
 
-test('should break off, and never try again, when a stream that cannot be resumed breaks in the middle', async t => {
+test('should abort, without another try, when a stream that cannot be resumed breaks in the middle', async t => {
   const world = new World()
   world.endpoints.onStream = () => script([event(1)], broken)
   const outcome = await world.clock.advanceUntil(world.forward(plain))
@@ -67,7 +67,7 @@
   t.is(world.endpoints.streams.length, 1)
 })
 
-test('should say that it is not known whether a stream ran that broke before its head', async t => {
+test('should report that a stream may have run when it breaks before its head', async t => {
   const world = new World()
   world.endpoints.onStream = () => ({ ...script([], ended), refuses: broken })
   const outcome = await world.clock.advanceUntil(world.forward(plain))
@@ -84,7 +84,7 @@
   t.is(world.text, event(1))
 })
 
-test('should go on at another endpoint behind the last whole event, under the first one\'s head', async t => {
+test('should resume at another endpoint after the last complete event, with the head of the first one', async t => {
   const world = new World()
   world.endpoints.onStream = ({ afterEventId }) => afterEventId === undefined
     ? script([event(1) + event(2), 'id: 3\ndata: pie'], broken)
@@ -96,7 +96,7 @@
   t.deepEqual(world.heads.map(({ headers }) => headers[1]), [world.endpoints.streams[0]?.endpoint.endpointId])
 })
 
-test('should take a stream for broken that ends within an event, or goes on with another one than the next', async t => {
+test('should treat a stream as broken that ends within an event, or continues with another one than the next', async t => {
   for (const wrong of [script([event(1), 'id: 2\ndata: '], ended), script([event(1), event(3)], ended)]) {
     const world = new World()
     world.endpoints.onStream = ({ afterEventId }) => afterEventId === undefined ? wrong : script([event(2)], ended)
@@ -105,7 +105,7 @@
   }
 })
 
-test('should begin behind the event that the caller holds', async t => {
+test('should start after the last event that the caller has received', async t => {
   const world = new World()
   world.endpoints.onStream = () => script([event(6)], ended)
   t.is((await world.clock.advanceUntil(world.forward(resumable, 5))).kind, 'ended')
@@ -119,7 +119,7 @@
   t.is(world.endpoints.streams.length, resumable.maxAttemptsCount)
 })
 
-test('should end at the time limit of the route, and let the endpoint go when the caller leaves', async t => {
+test('should end at the time limit of the route, and cancel the call when the caller disconnects', async t => {
   const late = new World()
   late.endpoints.onStream = () => script([event(1), event(2)], ended, 1_000)
   t.is((await late.clock.advanceUntil(late.forward(plain))).kind, 'brokenOff')
@@ -129,7 +129,7 @@
   const outcome = left.forward(plain)
   const failed = t.throwsAsync(outcome, { message: /caller/ })
   await left.clock.advance(600)
-  left.caller.close('the caller hung up')
+  left.caller.close('the caller disconnected')
   await left.clock.advance(1_000)
   await failed
   t.is(left.text, event(1))
--- a/tests/quarantine/requestQuarantine.test.ts
+++ b/tests/quarantine/requestQuarantine.test.ts
@@ -12,7 +12,7 @@
 
 const REQUEST = { host: HOST, method: 'POST', path: '/open/7', body: Buffer.from('a body') }
 const LOST = { kind: 'broken', reason: 'other side closed', isConnectionLost: true } as const
-const LOOKED_MS = 500
+const CHECKED_WITHIN_MS = 500
 
 class World {
   readonly clock = new VirtualClock()
@@ -22,50 +22,50 @@
   readonly quarantine: RequestQuarantine = quarantineOf(this.view, this.clock, this.endpoints)
   readonly identity = this.quarantine.identify(REQUEST)
 
-  /** The request's connection to an endpoint is lost, which may have ended. */
-  async lose (number: number, hasEnded: boolean): Promise<void> {
+  /** Loses the connection of the request to an endpoint, which has terminated or not. */
+  async lose (number: number, hasTerminated: boolean): Promise<void> {
     const at = this.own[number]!
-    if (hasEnded) this.endpoints.refusing.add(at.address)
+    if (hasTerminated) this.endpoints.refusing.add(at.address)
     this.quarantine.failed(this.quarantine.begin(this.identity, at), LOST)
-    await this.clock.advance(LOOKED_MS)
+    await this.clock.advance(CHECKED_WITHIN_MS)
   }
 
-  get standing (): RequestStanding {
+  get status (): RequestStanding {
     return this.quarantine.standingOf(this.quarantine.identify({ ...REQUEST }))
   }
 }
 
-test('should tell an endpoint that ended from a connection that was lost', async t => {
+test('should distinguish a terminated endpoint from a lost connection', async t => {
   const world = new World()
   await world.lose(0, false)
-  t.is(world.standing, RequestStanding.Free)
+  t.is(world.status, RequestStanding.Free)
   await world.lose(1, true)
-  t.is(world.standing, RequestStanding.Suspected)
+  t.is(world.status, RequestStanding.Suspected)
 })
 
-test('should take the new start of an endpoint at its address for the end of the one before, and a leave for none', async t => {
+test('should count a new incarnation at the same address as a termination, but not a leave', async t => {
   const world = new World()
   const [first, second] = world.own as [typeof world.own[0], typeof world.own[0]]
   const runs = [first, second].map(at => world.quarantine.begin(world.identity, at!))
   world.view.merge('control-1', { leaves: [{ number: 1, name: second!.name, bornAtMs: 0, lifecycle: 1 }] })
   for (const run of runs) world.quarantine.failed(run, LOST)
-  await world.clock.advance(LOOKED_MS)
-  t.is(world.standing, RequestStanding.Free)
+  await world.clock.advance(CHECKED_WITHIN_MS)
+  t.is(world.status, RequestStanding.Free)
   world.view.merge('control-1', { endpoints: [first!, second!].map((at, position) => ({ ...endpoint(`n${position}`), address: at.address })) })
-  t.is(world.standing, RequestStanding.Suspected, 'of one end')
+  t.is(world.status, RequestStanding.Suspected, 'one termination')
 })
 
-test('should condemn by what this host saw alone, and let an answer clear it, but not an error', async t => {
+test('should condemn a request by the terminations that this host saw, and clear it by an answer but not by an error', async t => {
   const world = new World()
   await world.lose(0, true)
   await world.lose(1, true)
-  t.is(world.standing, RequestStanding.OnProbation)
+  t.is(world.status, RequestStanding.OnProbation)
   world.quarantine.answeredWithError(world.quarantine.begin(world.identity, world.own[2]!))
-  t.is(world.standing, RequestStanding.OnProbation)
+  t.is(world.status, RequestStanding.OnProbation)
   await world.lose(2, true)
-  t.is(world.standing, RequestStanding.Condemned)
+  t.is(world.status, RequestStanding.Condemned)
   world.quarantine.answered(world.quarantine.begin(world.identity, world.own[2]!))
-  t.is(world.standing, RequestStanding.Free)
+  t.is(world.status, RequestStanding.Free)
 })
 
 test('should let no two requests on probation run at one endpoint', async t => {
@@ -80,7 +80,7 @@
   t.true(world.quarantine.mayBegin(RequestStanding.OnProbation, third!))
 })
 
-test('should tell the control hosts of an end once one of them has a quorum again, and not of what was answered meanwhile', async t => {
+test('should report a termination once there is a quorum again, without the requests that were answered meanwhile', async t => {
   const clock = new VirtualClock()
   const scope = new Scope('test')
   const sent: RoutingCommand[] = []
