--- a/src/endpoints/endpointClient.ts
+++ b/src/endpoints/endpointClient.ts
@@ -123,11 +123,11 @@
 }
 
 export enum LoadMode {
-  /** Running items finish before the new version is loaded. */
+  /** Runs finish before the new version is loaded. */
   Block = 'block',
-  /** Running items are stopped. */
+  /** Runs are cut short. */
   Truncate = 'truncate',
-  /** Running items continue with the new version. */
+  /** Runs continue with the new version. */
   Retain = 'retain'
 }
 
--- a/src/quarantine/requestQuarantine.ts
+++ b/src/quarantine/requestQuarantine.ts
@@ -29,10 +29,10 @@
 /** Suspects seen by this host that no control host has reported yet. */
 const MAX_OWN_SUSPECTS_COUNT = 1_024
 /**
- * How many recent answers are kept, and for how long: when many callers send the
- * same request, some are answered within a second or two of a termination that
- * others ran into, which clears it. A longer retention would protect a request that
- * starts to terminate endpoints for as long.
+ * How many recent answers are kept, and for how long. A request that was answered
+ * recently is not suspected: of a request that many callers send, some are answered
+ * within a second or two of a termination during which others ran. A longer retention
+ * would protect a request that starts to terminate endpoints for that long.
  */
 const MAX_ANSWERED_COUNT = 1_024
 const ANSWER_RETENTION_MS = 2_000
--- a/tests/accounts/admission.test.ts
+++ b/tests/accounts/admission.test.ts
@@ -46,10 +46,10 @@
 
 test('should decide each call by the version in force at that moment', t => {
   const admission = new CallerAdmission({ policy: lenient, outOfTouchMs: () => 0 })
-  const held = (version: number, holder: string | undefined) => ({ ...routing(version), accounts: [{ name: holder ?? 'other', keyDigests: holder === undefined ? [] : [digestOfKey(KEY)] }] })
-  t.like(admission.decide(held(1, 'learners'), false, KEY).admission, { kind: 'admitted', account: 'learners' })
-  t.like(admission.decide(held(2, undefined), false, KEY).admission, { kind: 'refused' })
-  t.like(admission.decide(held(3, 'trainers'), false, KEY).admission, { kind: 'admitted', account: 'trainers' })
+  const routingWith = (version: number, holder: string | undefined) => ({ ...routing(version), accounts: [{ name: holder ?? 'other', keyDigests: holder === undefined ? [] : [digestOfKey(KEY)] }] })
+  t.like(admission.decide(routingWith(1, 'learners'), false, KEY).admission, { kind: 'admitted', account: 'learners' })
+  t.like(admission.decide(routingWith(2, undefined), false, KEY).admission, { kind: 'refused' })
+  t.like(admission.decide(routingWith(3, 'trainers'), false, KEY).admission, { kind: 'admitted', account: 'trainers' })
   t.is(admission.decide(routing(4), false, KEY).admission.kind, 'open')
 })
 
--- a/tests/fleet/routingDelivery.test.ts
+++ b/tests/fleet/routingDelivery.test.ts
@@ -10,8 +10,8 @@
     const count = before.filter(pusher => pusher === member).length
     t.true(count >= 10 && count <= 40, `${member} pushes to ${count}`)
   }
-  const [, ...left] = MEMBERS
-  const after = FOLLOWERS.map(follower => pusherOf(follower, left))
+  const [, ...remaining] = MEMBERS
+  const after = FOLLOWERS.map(follower => pusherOf(follower, remaining))
   t.true(before.every((pusher, index) => pusher === MEMBERS[0] || pusher === after[index]))
   t.is(pusherOf('10.0.0.1', []), undefined)
 })
--- a/tests/gateway/requestForwarder.test.ts
+++ b/tests/gateway/requestForwarder.test.ts
@@ -167,8 +167,8 @@
   endpoints.onCall = ({ endpoint: { endpointId } }) => (endpointId === 'e0' ? { afterMs: 1, outcome: answered(500) } : { afterMs: 40, outcome: answered() })
   const outcomes: ForwardOutcome[] = []
   for (let round = 0; round < 60; round++) {
-    const asked = Promise.all([forward(), forward(), forward()])
-    outcomes.push(...await clock.advanceUntil(asked))
+    const forwarded = Promise.all([forward(), forward(), forward()])
+    outcomes.push(...await clock.advanceUntil(forwarded))
   }
   const failedCount = endpoints.calls.filter(({ endpoint: { endpointId } }) => endpointId === 'e0').length
   t.true(failedCount <= 20, `${failedCount} of 180 requests went to the endpoint that fails`)
@@ -182,14 +182,14 @@
   endpoints.onCall = ({ endpoint: { endpointId } }) => (
     { afterMs: 20, outcome: isReset && endpointId === 'e0' ? { kind: 'broken', reason: 'reset', isConnectionLost: true } : answered() }
   )
-  const ask = async (): Promise<number> => {
+  const countSentToFirst = async (): Promise<number> => {
     const before = endpoints.calls.length
     await clock.advanceUntil(Promise.all(Array.from({ length: 30 }, () => forward())))
     return endpoints.calls.slice(before).filter(({ endpoint: { endpointId } }) => endpointId === 'e0').length
   }
-  t.true(await ask() >= 5)
+  t.true(await countSentToFirst() >= 5)
   isReset = false
   await clock.advance(300)
-  await ask()
-  t.true(await ask() >= 5)
+  await countSentToFirst()
+  t.true(await countSentToFirst() >= 5)
 })
--- a/tests/quarantine/requestQuarantine.test.ts
+++ b/tests/quarantine/requestQuarantine.test.ts
@@ -24,9 +24,9 @@
 
   /** Loses the connection of the request to an endpoint, which has terminated or not. */
   async lose (number: number, hasTerminated: boolean): Promise<void> {
-    const at = this.own[number]!
-    if (hasTerminated) this.endpoints.refusing.add(at.address)
-    this.quarantine.failed(this.quarantine.begin(this.identity, at), LOST)
+    const endpointToLose = this.own[number]!
+    if (hasTerminated) this.endpoints.refusing.add(endpointToLose.address)
+    this.quarantine.failed(this.quarantine.begin(this.identity, endpointToLose), LOST)
     await this.clock.advance(CHECKED_WITHIN_MS)
   }
 
