--- a/src/gateway/requestForwarder.ts
+++ b/src/gateway/requestForwarder.ts
@@ -45,7 +45,7 @@
   /** 0 is the most urgent. The priority of the account, if it has one, overrides that of the route. */
   priority?: number | undefined
   /** Called once when an endpoint has started, or may have started, to run the request; gets the time at which it was sent there. */
-  onStarted?: ((sentAtMs: number) => void) | undefined
+  onBegan?: ((sentAtMs: number) => void) | undefined
   progress: Progress
   /** Keep trying until the deadline: the caller cannot make use of a refusal. */
   isPersistent?: boolean
@@ -266,7 +266,7 @@
   }
 
   private _notifyStarted (sentAtMs: number): void {
-    if (!this._isStarted) this._request.onStarted?.(sentAtMs)
+    if (!this._isStarted) this._request.onBegan?.(sentAtMs)
     this._isStarted = true
   }
 
--- a/src/gateway/streamForwarder.ts
+++ b/src/gateway/streamForwarder.ts
@@ -140,7 +140,7 @@
 
   /** A stream counts as started with the first data that arrives. */
   private _notifyStarted (): void {
-    if (!this._isStarted) this._request.onStarted?.(this._request.progress.clock.nowMs())
+    if (!this._isStarted) this._request.onBegan?.(this._request.progress.clock.nowMs())
     this._isStarted = true
   }
 
