--- a/src/accounts/accountTable.ts
+++ b/src/accounts/accountTable.ts
@@ -1,16 +1,16 @@
 /**
- * Who holds which key, by the routing configuration in force.
+ * Maps keys to client accounts, according to the routing configuration in force.
  */
 import type { ClientAccount, Routing } from '../protocol/routing.js'
 import { isSameDigest, shortDigest } from './keyDigest.js'
 
-interface HeldKey {
+interface AccountKey {
   digest: string
   account: ClientAccount
 }
 
 export class AccountTable {
-  private readonly _byShortDigest = new Map<string, HeldKey[]>()
+  private readonly _byShortDigest = new Map<string, AccountKey[]>()
 
   constructor (accounts: readonly ClientAccount[]) {
     for (const account of accounts) {
@@ -18,24 +18,24 @@
     }
   }
 
-  /** The account that holds a key; undefined when none does. */
+  /** The account that the key with this digest belongs to; undefined when there is none. */
   holderOf (digest: string): ClientAccount | undefined {
-    return this._byShortDigest.get(shortDigest(digest))?.find(held => isSameDigest(held.digest, digest))?.account
+    return this._byShortDigest.get(shortDigest(digest))?.find(key => isSameDigest(key.digest, digest))?.account
   }
 
   private _add (digest: string, account: ClientAccount): void {
-    const held = this._byShortDigest.get(shortDigest(digest)) ?? []
-    held.push({ digest, account })
-    this._byShortDigest.set(shortDigest(digest), held)
+    const keys = this._byShortDigest.get(shortDigest(digest)) ?? []
+    keys.push({ digest, account })
+    this._byShortDigest.set(shortDigest(digest), keys)
   }
 }
 
-/** Keeps the table of the routing configuration in force. */
+/** Caches the table of the routing configuration in force. */
 export class CurrentAccounts {
   private _version: number | undefined
   private _table: AccountTable | undefined
 
-  /** Undefined where callers need no key; made anew when the version has changed. */
+  /** Returns undefined where callers need no key; rebuilds the table when the version has changed. */
   of (routing: Routing): AccountTable | undefined {
     if (this._version !== routing.version) {
       this._version = routing.version
--- a/src/accounts/callerAdmission.ts
+++ b/src/accounts/callerAdmission.ts
@@ -1,38 +1,39 @@
 /**
- * Admission as an entry host decides it, by the routing configuration in force
- * at the moment of the call: a connection that is kept has no standing of its own.
+ * Admission of callers at an entry host. Every call is decided by the routing
+ * configuration in force at that moment: a kept-alive connection carries no
+ * admission over from earlier calls.
  */
 import type { Routing } from '../protocol/routing.js'
 import { CurrentAccounts } from './accountTable.js'
 import { admit, type Admission, type KeyPolicy } from './admission.js'
 import { digestOfKey, shortDigest } from './keyDigest.js'
 
-export interface CallerAdmissionParts {
+export interface CallerAdmissionOptions {
   policy: KeyPolicy
-  /** For how long no majority of the control hosts has been heard. */
+  /** Time since a majority of the control hosts last answered, in milliseconds. */
   outOfTouchMs: () => number
 }
 
 export interface AdmissionDecision {
   admission: Admission
-  /** What the log calls the key; undefined without one. */
+  /** Name of the key for the log, the start of its digest; undefined without a key. */
   keyName: string | undefined
 }
 
 export class CallerAdmission {
-  private readonly _parts: CallerAdmissionParts
+  private readonly _options: CallerAdmissionOptions
   private readonly _accounts = new CurrentAccounts()
 
-  constructor (parts: CallerAdmissionParts) {
-    this._parts = parts
+  constructor (options: CallerAdmissionOptions) {
+    this._options = options
   }
 
-  /** @param key as the caller sent it; undefined without one */
+  /** @param key the key as the caller sent it; undefined without one */
   decide (routing: Routing, isPublic: boolean, key: string | undefined): AdmissionDecision {
     const accounts = this._accounts.of(routing)
     if (!accounts) return { admission: { kind: 'open' }, keyName: undefined }
     const keyDigest = key === undefined ? undefined : digestOfKey(key)
-    const admission = admit({ accounts, isPublic, keyDigest, outOfTouchMs: this._parts.outOfTouchMs() }, this._parts.policy)
+    const admission = admit({ accounts, isPublic, keyDigest, disconnectedMs: this._options.outOfTouchMs() }, this._options.policy)
     return { admission, keyName: keyDigest === undefined ? undefined : shortDigest(keyDigest) }
   }
 }
--- a/src/accounts/keyDigest.ts
+++ b/src/accounts/keyDigest.ts
@@ -1,11 +1,11 @@
 /**
- * Keys of client accounts as digests. A key is turned into its digest where it
- * enters the system, and only digests are kept, sent, compared and logged.
+ * Digests of the keys of client accounts. A key is hashed where it enters the
+ * system; only digests are stored, sent, compared and logged.
  */
 import { createHash, timingSafeEqual } from 'node:crypto'
 
-/** Characters of a digest that tell keys apart in logs and tables; say nothing of the key. */
-const SHORT_LENGTH = 10
+/** Characters of a digest that identify a key in logs and tables without revealing it. */
+const SHORT_DIGEST_LENGTH = 10
 
 /** SHA-256 in base64url. */
 export function digestOfKey (key: string): string {
@@ -13,7 +13,7 @@
 }
 
 export function shortDigest (digest: string): string {
-  return digest.slice(0, SHORT_LENGTH)
+  return digest.slice(0, SHORT_DIGEST_LENGTH)
 }
 
 /** Compares two digests in constant time. */
--- a/src/endpoints/endpointPool.ts
+++ b/src/endpoints/endpointPool.ts
@@ -1,7 +1,7 @@
 /**
- * The endpoints of all services with their health, and the choice among them:
- * the one where a request should be done first, by the requests there and the
- * time that its recent ones took.
+ * Holds the health of the endpoints of all services and chooses among them: the
+ * endpoint that is expected to finish a request first, based on the requests
+ * that are there and the duration of recent ones.
  */
 import type { FleetEndpoint } from '../protocol/fleet.js'
 import type { FleetView } from '../fleet/fleetView.js'
@@ -11,23 +11,23 @@
 import type { Metrics } from '../utils/metrics.js'
 import type { RandomSource } from '../utils/randomSource.js'
 import { EndpointEvent } from './endpointEvents.js'
-import { EndpointHealth, type HealthParts } from './endpointHealth.js'
+import { EndpointHealth, type EndpointHealthOptions } from './endpointHealth.js'
 
-/** A request to another data centre costs its transfer; below this gain it stays. */
-const FOREIGN_PENALTY = 1.1
-/** Stands in for the duration of calls to an endpoint that had none lately, in milliseconds. */
-const UNKNOWN_MEAN_MS = 30
-/** Answers of a service that are remembered: enough for a quantile of 0.95, few enough to follow a change. */
+/** Factor on the expected duration at an endpoint in another data centre: a remote endpoint has to gain more than the cost of the transfer. */
+const REMOTE_PENALTY_FACTOR = 1.1
+/** Assumed mean duration for an endpoint without recent calls. */
+const DEFAULT_MEAN_MS = 30
+/** Durations kept per service: enough for the 0.95 quantile, few enough to follow changes. */
 const MAX_DURATIONS_COUNT = 100
-/** Breaks ties, so that hosts do not all choose the same endpoint. */
-const JITTER = 0.1
+/** Random share added to the expected duration, so that hosts do not all choose the same endpoint. */
+const MAX_JITTER_SHARE = 0.1
 
-/** With more of a service's endpoints accused, the fault is hardly theirs: they are tried instead of being left out for long. */
-const MAX_LEFT_OUT_SHARE = 0.5
+/** If a larger share of a service's endpoints fails, the cause is probably not at the endpoints: they are tried again instead of being ejected for long. */
+const MAX_EJECTED_SHARE = 0.5
 
-const NONE: ReadonlySet<string> = new Set()
+const NO_ENDPOINT_IDS: ReadonlySet<string> = new Set()
 
-export interface EndpointPoolParts {
+export interface EndpointPoolOptions {
   view: FleetView
   clock: Clock
   random: RandomSource
@@ -37,78 +37,78 @@
 }
 
 export class EndpointPool {
-  private readonly _parts: EndpointPoolParts
+  private readonly _options: EndpointPoolOptions
   private readonly _health = new Map<string, EndpointHealth>()
-  /** Durations of recent answers by service, the oldest first. */
+  /** Durations of recent answers per service, the oldest first. */
   private readonly _durations = new Map<string, number[]>()
 
-  constructor (parts: EndpointPoolParts) {
-    this._parts = parts
+  constructor (options: EndpointPoolOptions) {
+    this._options = options
   }
 
   /** Ready endpoints of a service. */
   ofService (service: string): FleetEndpoint[] {
-    return this._parts.view.ready().filter(endpoint => endpoint.service === service)
+    return this._options.view.ready().filter(endpoint => endpoint.service === service)
   }
 
   health (endpointId: string): EndpointHealth {
     let health = this._health.get(endpointId)
     if (!health) {
-      health = new EndpointHealth(this._healthPartsOf(endpointId))
+      health = new EndpointHealth(this._healthOptionsOf(endpointId))
       this._health.set(endpointId, health)
     }
     return health
   }
 
-  private _healthPartsOf (endpointId: string): HealthParts {
-    const { clock, logger, metrics, view } = this._parts
+  private _healthOptionsOf (endpointId: string): EndpointHealthOptions {
+    const { clock, logger, metrics, view } = this._options
     return {
       clock,
-      onLeftOut: (reason, forMs, failuresCount) => {
+      onEjected: (reason, forMs, failuresCount) => {
         const service = view.endpoint(endpointId)?.service ?? ''
-        logger.event(EndpointEvent.LeftOut, { endpointId, service, reason, forMs, failuresCount })
+        logger.event(EndpointEvent.Ejected, { endpointId, service, reason, forMs, failuresCount })
         metrics.count(MetricName.EndpointLeftOut, { pool: service, reason })
       },
-      onProven: () => logger.event(EndpointEvent.Proven, { endpointId }),
+      onReinstated: () => logger.event(EndpointEvent.Reinstated, { endpointId }),
       isWidespread: () => this._isWidespread(view.endpoint(endpointId)?.service)
     }
   }
 
-  /** Whether most endpoints of a service are accused at this moment. */
+  /** Whether most endpoints of a service have an open circuit breaker now. */
   private _isWidespread (service: string | undefined): boolean {
     if (service === undefined) return false
     const endpoints = this.ofService(service)
-    const accusedCount = endpoints.filter(({ endpointId }) => this._health.get(endpointId)?.isAccused === true).length
-    return accusedCount > MAX_LEFT_OUT_SHARE * endpoints.length
+    const openBreakersCount = endpoints.filter(({ endpointId }) => this._health.get(endpointId)?.isBreakerOpen === true).length
+    return openBreakersCount > MAX_EJECTED_SHARE * endpoints.length
   }
 
   /**
-   * The endpoint to try next.
-   * @param tried endpoints that were tried already; chosen only if there is no other
-   * @param risky endpoints that may end soon; chosen only if there is no other that was not tried
+   * Chooses the endpoint to try next.
+   * @param tried endpoints that were already tried; chosen only if there is no other
+   * @param risky endpoints that may terminate soon; chosen only if no other untried one is left
    */
-  choose (service: string, tried: ReadonlySet<string>, risky: ReadonlySet<string> = NONE): FleetEndpoint | undefined {
+  choose (service: string, tried: ReadonlySet<string>, risky: ReadonlySet<string> = NO_ENDPOINT_IDS): FleetEndpoint | undefined {
     const all = this.ofService(service).filter(({ endpointId }) => !this.health(endpointId).isFull)
-    const fresh = all.filter(({ endpointId }) => !tried.has(endpointId))
-    const safe = fresh.filter(({ endpointId }) => !risky.has(endpointId))
-    const candidates = [safe, fresh, all].find(({ length }) => length > 0) ?? []
+    const untried = all.filter(({ endpointId }) => !tried.has(endpointId))
+    const safe = untried.filter(({ endpointId }) => !risky.has(endpointId))
+    const candidates = [safe, untried, all].find(({ length }) => length > 0) ?? []
     const open = candidates.filter(({ endpointId }) => this.health(endpointId).isOpen)
     if (open.length > 0) return this._lowest(open, endpoint => this._expectedMs(endpoint))
     const listening = candidates.filter(({ endpointId }) => !this.health(endpointId).isRefusing)
-    return this._lowest(listening.length > 0 ? listening : candidates, ({ endpointId }) => this.health(endpointId).suspectUntilMs)
+    return this._lowest(listening.length > 0 ? listening : candidates, ({ endpointId }) => this.health(endpointId).ejectedUntilMs)
   }
 
-  /** Slots of the service's endpoints that did not say lately that they are full. */
-  roomCount (service: string): number {
+  /** Slots of the service's endpoints that did not report recently that they are full. */
+  availableSlotsCount (service: string): number {
     return this.ofService(service).reduce((sum, { endpointId, slotsCount }) => sum + (this.health(endpointId).isFull ? 0 : slotsCount), 0)
   }
 
-  /** Whether it is too soon to connect to an endpoint again, which has just refused that. */
+  /** Whether the endpoint has just refused a connection, so that it is too early for another attempt. */
   isRefusing ({ endpointId }: FleetEndpoint): boolean {
     return this.health(endpointId).isRefusing
   }
 
-  /** What a service can do for a request now; undefined when no endpoint of it is known. */
+  /** Estimates how soon the service can serve a request; undefined when none of its endpoints is known. */
   forecast (service: string): { waitMs: number, typicalMs: number } | undefined {
     const endpoints = this.ofService(service)
     if (endpoints.length === 0) return undefined
@@ -116,8 +116,8 @@
     return { waitMs: Math.min(...endpoints.map(({ endpointId }) => this.health(endpointId).expectedWaitMs(typicalMs))), typicalMs }
   }
 
-  /** An endpoint of the service answered after this time. */
-  answeredAfter (service: string, durationMs: number): void {
+  /** Records how long an endpoint of the service took to answer. */
+  recordDuration (service: string, durationMs: number): void {
     const durations = this._durations.get(service) ?? []
     durations.push(durationMs)
     if (durations.length > MAX_DURATIONS_COUNT) durations.shift()
@@ -127,7 +127,7 @@
   /** Mean duration of recent answers. */
   typicalMs (service: string): number {
     const durations = this._durations.get(service) ?? []
-    return durations.length === 0 ? UNKNOWN_MEAN_MS : durations.reduce((sum, durationMs) => sum + durationMs, 0) / durations.length
+    return durations.length === 0 ? DEFAULT_MEAN_MS : durations.reduce((sum, durationMs) => sum + durationMs, 0) / durations.length
   }
 
   /** Durations of recent answers, the shortest first. */
@@ -135,19 +135,19 @@
     return [...(this._durations.get(service) ?? [])].sort((left, right) => left - right)
   }
 
-  /** Forgets endpoints that are known no more. */
+  /** Removes the health of endpoints that the fleet view no longer contains. */
   prune (): void {
     for (const [endpointId, health] of this._health) {
-      if (health.runningCount === 0 && !this._parts.view.endpoint(endpointId)) this._health.delete(endpointId)
+      if (health.runningCount === 0 && !this._options.view.endpoint(endpointId)) this._health.delete(endpointId)
     }
   }
 
   private _expectedMs (endpoint: FleetEndpoint): number {
     const health = this.health(endpoint.endpointId)
     const queueFactor = 1 + health.busyCount / Math.max(1, endpoint.slotsCount)
-    const distanceFactor = endpoint.dataCentre === this._parts.dataCentre ? 1 : FOREIGN_PENALTY
-    const jitter = 1 + JITTER * this._parts.random.real()
-    return (health.meanMs ?? UNKNOWN_MEAN_MS) * queueFactor * distanceFactor * jitter
+    const distanceFactor = endpoint.dataCentre === this._options.dataCentre ? 1 : REMOTE_PENALTY_FACTOR
+    const jitter = 1 + MAX_JITTER_SHARE * this._options.random.real()
+    return (health.meanMs ?? DEFAULT_MEAN_MS) * queueFactor * distanceFactor * jitter
   }
 
   private _lowest (endpoints: FleetEndpoint[], valueOf: (endpoint: FleetEndpoint) => number): FleetEndpoint | undefined {
--- a/src/engineSupply/supplyLedger.ts
+++ b/src/engineSupply/supplyLedger.ts
@@ -1,7 +1,8 @@
 /**
- * The part of the batch store's state that holds the orders for engines: who
- * holds the duty, and what was ordered of each kind in each data centre. An order
- * stands here before it is sent, so that a successor sends the same again.
+ * The part of the batch store's state that holds the orders for engines: which
+ * host holds the duty, and how many engines of each kind were ordered in each data
+ * centre. An order is recorded before it is sent, so that the next leader repeats it
+ * unchanged.
  */
 export interface SupplyOrder {
   service: string
@@ -16,13 +17,13 @@
 }
 
 export class SupplyLedger {
-  /** The host that claimed the duty last; undefined before the first. */
+  /** The host that claimed the duty last; undefined before the first claim. */
   holder: string | undefined
   private readonly _orders = new Map<string, SupplyOrder>()
 
-  /** The latest order of a kind of engine; undefined before the first. */
+  /** The number ordered last for a kind of engine; undefined before the first order. */
   orderOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): number | undefined {
-    return this._orders.get(subjectOf({ service, dataCentre, isReclaimable }))?.desiredCount
+    return this._orders.get(orderKeyOf({ service, dataCentre, isReclaimable }))?.desiredCount
   }
 
   claim (holder: string): void {
@@ -31,7 +32,7 @@
 
   order ({ service, dataCentre, isReclaimable, desiredCount }: SupplyOrder): void {
     const order = { service, dataCentre, isReclaimable, desiredCount }
-    this._orders.set(subjectOf(order), order)
+    this._orders.set(orderKeyOf(order), order)
   }
 
   snapshot (): SupplySnapshot {
@@ -45,6 +46,6 @@
   }
 }
 
-function subjectOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): string {
+function orderKeyOf ({ service, dataCentre, isReclaimable }: Omit<SupplyOrder, 'desiredCount'>): string {
   return `${service} ${dataCentre} ${isReclaimable ? 'reclaimable' : 'kept'}`
 }
--- a/src/gateway/eventCutter.ts
+++ b/src/gateway/eventCutter.ts
@@ -1,35 +1,35 @@
 /**
- * Cuts a stream of events (text/event-stream) where its events end, so that a
- * stream which breaks off in the middle of one can go on at another endpoint
- * behind the last whole event. The bytes stay as the endpoint sent them.
+ * Splits a `text/event-stream` body at event boundaries, so that a stream that
+ * breaks within an event can be resumed at another endpoint after the last
+ * complete event. The bytes are passed on exactly as the endpoint sent them.
  */
 const EVENT_END = Buffer.from('\n\n')
 const ID_LINE = /^id: ?(\d+)$/m
 
-export interface WholeEvents {
+export interface CompleteEvents {
   bytes: Uint8Array
-  /** Id of the last event among them that has one. */
+  /** Id of the last event in `bytes` that carries one. */
   lastId: number | undefined
-  /** Id of the first event among them that has one. */
+  /** Id of the first event in `bytes` that carries one. */
   firstId: number | undefined
 }
 
-export class EventCutter {
-  private _rest: Buffer = Buffer.alloc(0)
+export class EventStreamSplitter {
+  private _partialEvent: Buffer = Buffer.alloc(0)
 
-  /** Takes the next bytes; the events that are whole now, if any. */
-  take (chunk: Uint8Array): WholeEvents | undefined {
-    this._rest = this._rest.length === 0 ? Buffer.from(chunk) : Buffer.concat([this._rest, chunk])
-    const end = this._rest.lastIndexOf(EVENT_END)
+  /** Adds the next chunk and returns the events that it completes, if any. */
+  push (chunk: Uint8Array): CompleteEvents | undefined {
+    this._partialEvent = this._partialEvent.length === 0 ? Buffer.from(chunk) : Buffer.concat([this._partialEvent, chunk])
+    const end = this._partialEvent.lastIndexOf(EVENT_END)
     if (end < 0) return undefined
-    const bytes = this._rest.subarray(0, end + EVENT_END.length)
-    this._rest = this._rest.subarray(end + EVENT_END.length)
+    const bytes = this._partialEvent.subarray(0, end + EVENT_END.length)
+    this._partialEvent = this._partialEvent.subarray(end + EVENT_END.length)
     const ids = bytes.toString().split('\n\n').flatMap(event => ID_LINE.exec(event)?.[1] ?? []).map(Number)
     return { bytes, firstId: ids[0], lastId: ids.at(-1) }
   }
 
-  /** Whether the bytes taken so far end with a whole event. */
-  get isAtEnd (): boolean {
-    return this._rest.length === 0
+  /** Whether the bytes received so far end at an event boundary. */
+  get isAtEventEnd (): boolean {
+    return this._partialEvent.length === 0
   }
 }
--- a/src/quarantine/requestIdentity.ts
+++ b/src/quarantine/requestIdentity.ts
@@ -1,19 +1,19 @@
 /**
- * What makes one request the same as another: the caller's host, the method, the
- * path and the body. Its digest is worked out when somebody asks for it.
+ * Identity of a request: two requests are the same if host, method, path and body
+ * are equal. The digest is computed on first use.
  */
 import { digestOf, type RepeatedParts } from '../protocol/quarantine.js'
 
 export class RequestIdentity {
-  private readonly _parts: RepeatedParts
+  private readonly _identifyingParts: RepeatedParts
   private _digest: string | undefined
 
   constructor ({ host, method, path, body }: RepeatedParts) {
-    this._parts = { host, method, path, body }
+    this._identifyingParts = { host, method, path, body }
   }
 
   get digest (): string {
-    this._digest ??= digestOf(this._parts)
+    this._digest ??= digestOf(this._identifyingParts)
     return this._digest
   }
 }
