--- a/src/bin/threaddrum.ts
+++ b/src/bin/threaddrum.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
-/** threaddrum: the operators' command. */
-import { CheckedAs } from '../cli/checkCommand.js'
+/** `threaddrum`: the command-line tool of operators. */
+import { FileKind } from '../cli/checkCommand.js'
 import { runCommandLine } from '../cli/commandLine.js'
 import { processOutput } from '../cli/output.js'
 import { controlSettingsSchema } from '../control/controlSettings.js'
@@ -12,9 +12,9 @@
   version: productVersion(),
   output: processOutput,
   settingsSchemas: {
-    [CheckedAs.Entry]: entrySettingsSchema,
-    [CheckedAs.Control]: controlSettingsSchema,
-    [CheckedAs.FleetHost]: fleetHostSettingsSchema
+    [FileKind.Entry]: entrySettingsSchema,
+    [FileKind.Control]: controlSettingsSchema,
+    [FileKind.FleetHost]: fleetHostSettingsSchema
   },
   environment: process.env
 })
--- a/src/bin/threaddrumControl.ts
+++ b/src/bin/threaddrumControl.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** threaddrum-control: a control host. */
+/** `threaddrum-control`: the program of a control host. */
 import { controlEventCatalogue, ControlEvent } from '../control/controlEvents.js'
 import { ControlProgram } from '../control/controlProgram.js'
 import { controlSettingsSchema } from '../control/controlSettings.js'
@@ -12,9 +12,9 @@
   settingsSchema: controlSettingsSchema,
   eventCatalogue: { ...controlEventCatalogue, ...replicationEventCatalogue },
   brokenInvariantEvent: ControlEvent.BrokenInvariant,
-  needs: ({ host, storage }) => ({
+  requirements: ({ host, storage }) => ({
     addresses: { 'host.peerAddress': host.peerAddress, 'host.operatorAddress': host.operatorAddress },
     folders: { 'storage.dataFolder': storage.dataFolder }
   }),
-  start: async (settings, parts) => await ControlProgram.start({ settings, createLedgers, ...parts })
+  start: async (settings, context) => await ControlProgram.start({ settings, createLedgers, ...context })
 })
--- a/src/bin/threaddrumEntry.ts
+++ b/src/bin/threaddrumEntry.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** threaddrum-entry: an entry host. */
+/** `threaddrum-entry`: the program of an entry host. */
 import { EntryEvent, entryEventCatalogue } from '../entry/entryEvents.js'
 import { entrySettingsSchema } from '../entry/entrySettings.js'
 import { rolloutEventCatalogue } from '../entry/rollouts/rolloutEvents.js'
@@ -11,7 +11,7 @@
   settingsSchema: entrySettingsSchema,
   eventCatalogue: { ...entryEventCatalogue, ...rolloutEventCatalogue },
   brokenInvariantEvent: EntryEvent.InvariantBroken,
-  needs: ({ host }) => ({
+  requirements: ({ host }) => ({
     addresses: {
       'host.callerAddress': host.callerAddress,
       'host.peerAddress': host.peerAddress,
--- a/src/bin/threaddrumLoad.ts
+++ b/src/bin/threaddrumLoad.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `threaddrum-load`: load and experiments against a running system. */
+/** `threaddrum-load`: generates load and runs experiments against a running system. */
 import { createRequire } from 'node:module'
 import { runLoadCommand } from '../load/loadCommand.js'
 import { Scope } from '../utils/scope.js'
--- a/src/cli/applyCommand.ts
+++ b/src/cli/applyCommand.ts
@@ -1,6 +1,6 @@
 /**
- * `threaddrum apply` and `threaddrum delete`: changes of resources. A change
- * whose answer is lost is sent again under its own id, so it is made once.
+ * `threaddrum apply` and `threaddrum delete`: change resources. A change whose
+ * answer is lost is sent again under the same id, so that it is made only once.
  */
 import type { ResourceKind } from '../protocol/resources.js'
 import type { ResourceResult } from '../protocol/resourceCommands.js'
@@ -13,7 +13,7 @@
 
 export interface ApplyOptions {
   files: string[]
-  /** Base of the change ids; the same base makes the same changes once. */
+  /** Prefix of the change ids; changes sent again under the same prefix are made only once. */
   changeId: string
   /** Wait until every entry host has the changes in force. */
   wait: boolean
@@ -29,7 +29,7 @@
 
 type ChangeOutcome = { kind: 'made', revision: number } | { kind: 'failed', exitCode: ExitCode }
 
-/** @throws SettingsError when a file is wrong; nothing is sent then. */
+/** @throws SettingsError if a file is invalid; nothing is sent then. */
 export async function runApply (context: CommandContext, options: ApplyOptions): Promise<ExitCode> {
   const resources = options.files.flatMap(readResourceFile)
   let revision = 0
@@ -64,7 +64,7 @@
       print(context, what, result)
       return { kind: 'made', revision: result.revision }
     case 'conflict':
-      context.output.error(`${what}: conflict: its revision is ${result.currentRevision} now; get it again and repeat the change on that`)
+      context.output.error(`${what}: conflict: its revision is ${result.currentRevision} now; get the resource again and repeat the change on that revision`)
       return { kind: 'failed', exitCode: ExitCode.Conflict }
     case 'invalid':
       context.output.error(`${what}: ${result.field}: ${result.message}`)
--- a/src/cli/checkCommand.ts
+++ b/src/cli/checkCommand.ts
@@ -1,4 +1,4 @@
-/** `threaddrum check`: checks files without sending or starting anything. */
+/** `threaddrum check`: validates files without sending or starting anything. */
 import type { z } from 'zod'
 import { SettingsError } from '../utils/errors.js'
 import { readSettings } from '../utils/settings.js'
@@ -6,24 +6,24 @@
 import type { Output } from './output.js'
 import { readResourceFile } from './resourceFile.js'
 
-/** What a file may be checked as. */
-export enum CheckedAs {
+/** Kinds of files that can be checked. */
+export enum FileKind {
   Entry = 'entry',
   Control = 'control',
-  /** A process of the fleet: edge, control or store on the users' platform. */
+  /** A process of the fleet: an edge, control or store host on the platform. */
   FleetHost = 'fleet-host',
   Resources = 'resources'
 }
 
-/** Schemas of the programs' settings, handed in because this folder does not know the programs. */
-export type SettingsSchemas = Record<Exclude<CheckedAs, CheckedAs.Resources>, z.ZodType>
+/** Schemas of the programs' settings, passed in because this folder does not import the programs. */
+export type SettingsSchemas = Record<Exclude<FileKind, FileKind.Resources>, z.ZodType>
 
-export function runCheck (output: Output, schemas: SettingsSchemas, checkedAs: CheckedAs, files: string[]): ExitCode {
+export function runCheck (output: Output, schemas: SettingsSchemas, kind: FileKind, files: string[]): ExitCode {
   let exitCode = ExitCode.Done
   for (const file of files) {
     try {
-      if (checkedAs === CheckedAs.Resources) readResourceFile(file)
-      else readSettings(file, schemas[checkedAs])
+      if (kind === FileKind.Resources) readResourceFile(file)
+      else readSettings(file, schemas[kind])
       output.print(`${file}: ok`)
     } catch (error) {
       if (!(error instanceof SettingsError)) throw error
--- a/src/cli/commandContext.ts
+++ b/src/cli/commandContext.ts
@@ -1,4 +1,4 @@
-/** What every command is given, and what it says when a call does not succeed. */
+/** The context of every command, and the report of a failed call. */
 import type { Progress } from '../utils/progress.js'
 import { ExitCode } from './exitCode.js'
 import type { OperatorAnswer, OperatorClient } from './operatorClient.js'
@@ -12,7 +12,7 @@
   asJson: boolean
 }
 
-/** Reports an answer that is not the wanted one, and gives the exit code for it. */
+/** Prints why a call failed and returns the exit code for it. */
 export function reportFailure (context: CommandContext, what: string, answer: Exclude<OperatorAnswer<never>, { kind: 'answered' }>): ExitCode {
   switch (answer.kind) {
     case 'notFound':
@@ -22,7 +22,7 @@
       context.output.error(`${what}: refused: ${answer.message}`)
       return ExitCode.Refused
     case 'unreachable':
-      context.output.error(`${what}: no control host answered in time; the last one tried said: ${answer.message}`)
+      context.output.error(`${what}: no control host answered in time; last failure: ${answer.message}`)
       return ExitCode.Unreachable
   }
 }
--- a/src/cli/drainCommand.ts
+++ b/src/cli/drainCommand.ts
@@ -1,4 +1,4 @@
-/** `threaddrum drain`: takes an entry host, or an endpoint, out of use without cutting what runs. */
+/** `threaddrum drain`: takes an entry host or an endpoint out of use without interrupting running requests. */
 import { operatorPaths, type EntryHostStatus } from '../protocol/operators.js'
 import { reportFailure, type CommandContext } from './commandContext.js'
 import { ExitCode } from './exitCode.js'
@@ -8,13 +8,13 @@
   if (!Array.isArray(hosts)) return hosts.exitCode
   const host = hosts.find(candidate => candidate.hostId === hostId)
   if (!host) {
-    context.output.error(`no entry host is called "${hostId}"; there are ${hosts.map(candidate => candidate.hostId).join(', ')}`)
+    context.output.error(`no entry host has the id "${hostId}"; known entry hosts: ${hosts.map(candidate => candidate.hostId).join(', ')}`)
     return ExitCode.NotFound
   }
   return await post(context, host, operatorPaths.drain, `entry host ${hostId}`)
 }
 
-/** Any entry host passes the drain of an endpoint on to the others. */
+/** Sends the drain to the first entry host that accepts it; that host forwards it to the others. */
 export async function runDrainEndpoint (context: CommandContext, endpointId: string): Promise<ExitCode> {
   const hosts = await entryHosts(context)
   if (!Array.isArray(hosts)) return hosts.exitCode
@@ -35,10 +35,10 @@
 
 async function post (context: CommandContext, host: EntryHostStatus, path: string, what: string): Promise<ExitCode> {
   if (host.operatorAddress === undefined) {
-    context.output.error(`${what}: entry host ${host.hostId} has not said where operators reach it`)
+    context.output.error(`${what}: entry host ${host.hostId} has not announced an operator address`)
     return ExitCode.Refused
   }
-  const answer = await context.client.askEntryHost(host.operatorAddress, { method: 'POST', path, body: {} }, context.progress)
+  const answer = await context.client.requestEntryHost(host.operatorAddress, { method: 'POST', path, body: {} }, context.progress)
   if (answer.kind !== 'answered') return reportFailure(context, what, answer)
   context.output.print(context.asJson ? JSON.stringify(answer.value) : `${what}: draining`)
   return ExitCode.Done
--- a/src/cli/getCommand.ts
+++ b/src/cli/getCommand.ts
@@ -1,4 +1,4 @@
-/** `threaddrum get`: resources of a kind, or one by its name. */
+/** `threaddrum get`: shows all resources of a kind, or one by its name. */
 import type { Resource, ResourceKind } from '../protocol/resources.js'
 import { reportFailure, type CommandContext } from './commandContext.js'
 import { ExitCode } from './exitCode.js'
@@ -29,7 +29,7 @@
   return ExitCode.Done
 }
 
-/** In the form that `apply` reads, so that a change starts from what is there. */
+/** In the format that `apply` reads, so that a change can start from the current state. */
 function asFile (resources: Resource[]): string {
   return JSON.stringify({ resources }, null, 2)
 }
--- a/src/cli/logExplanation.ts
+++ b/src/cli/logExplanation.ts
@@ -1,9 +1,8 @@
 /**
- * `threaddrum explain ID --logs FILES`: what collected log files say of a
- * request, a batch, an item or an order, in the order in which it happened,
- * with what else changed meanwhile at the endpoints and leaders concerned.
- * Clocks of hosts differ a little, so lines of two hosts may stand in the wrong
- * order by that much.
+ * `threaddrum explain ID --logs FILES`: prints what collected log files contain
+ * about a request, a batch, an item or an order, sorted by time, together with
+ * concurrent changes of the endpoints and leaders involved. The clocks of hosts
+ * differ slightly, so lines of two hosts may be out of order by that difference.
  */
 import { readText } from '../utils/settings.js'
 import { ExitCode } from './exitCode.js'
@@ -27,11 +26,11 @@
 
 /** Why a line is shown. */
 enum Relation {
-  /** It names the id itself. */
+  /** The line contains the id itself. */
   Own = 'own',
-  /** It names an id that a line of the request led to, such as its reward call or its digest. */
-  LedTo = 'led_to',
-  /** It tells what changed meanwhile at an endpoint or a leader. */
+  /** The line contains an id found in one of those lines, such as that of a reward call or a digest. */
+  Linked = 'led_to',
+  /** The line reports a concurrent change of an endpoint or a leader. */
   Meanwhile = 'meanwhile'
 }
 
@@ -39,20 +38,20 @@
   relation: Relation
 }
 
-/** Fields of a line that lead to further lines. */
-const LEADING_FIELDS = ['rewardId', 'digest']
-/** Changes of leaders, of the batch store's dispatcher, and of what a host follows (docs/LOG-EVENTS.md). */
+/** Fields whose values identify further related lines. */
+const LINK_FIELDS = ['rewardId', 'digest']
+/** Changes of leaders, of the dispatcher of the batch store, and of the host that a host follows (docs/LOG-EVENTS.md). */
 const LEADER_EVENTS = new Set([1010, 1011, 1012, 1014, 1015, 1108, 1109, 3240, 3241])
-/** Endpoints that became known, left or fell silent, and orders to engines. */
+/** Endpoints that became known, left or stopped answering, and orders to engines. */
 const ENDPOINT_EVENTS = new Set([1104, 1105, 1106, 3250, 3251])
-/** What happened this long before the first line may have caused it. */
-const BEFORE_MS = 2_000
-/** Fields that roarr puts into every line. */
+/** Changes up to this long before the first line are shown, since they may have caused what follows. */
+const LOOKBACK_MS = 2_000
+/** Fields that every line has; they are not printed as fields. */
 const COMMON_FIELDS = new Set(['program', 'host', 'hostId', 'eventNumber', 'logLevel'])
 
 export function explainFromLogs ({ id, files, output, asJson }: LogExplanationOptions): ExitCode {
   const lines = files.flatMap(file => parseLog(readText(file)))
-  const shown = linesAbout(id, lines)
+  const shown = relatedLines(id, lines)
   if (shown.length === 0) {
     output.error(`none of ${lines.length} lines in ${files.length} files names "${id}"`)
     return ExitCode.NotFound
@@ -62,37 +61,37 @@
   return ExitCode.Done
 }
 
-/** Lines that are not of this system's logs are passed over. */
+/** Skips lines that are not log lines of this system. */
 export function parseLog (text: string): LogLine[] {
   return text.split('\n').flatMap(parseLine)
 }
 
-/** A collector may have put something before the JSON object. */
+/** Log collectors may put a prefix before the JSON object. */
 function parseLine (line: string): LogLine[] {
-  const begin = line.indexOf('{"context":')
-  if (begin < 0) return []
+  const start = line.indexOf('{"context":')
+  if (start < 0) return []
   try {
-    const { context, message, time } = JSON.parse(line.slice(begin)) as { context: Record<string, unknown>, message: string, time: number }
+    const { context, message, time } = JSON.parse(line.slice(start)) as { context: Record<string, unknown>, message: string, time: number }
     const fields = Object.fromEntries(Object.entries(context).filter(([name]) => !COMMON_FIELDS.has(name)))
     const host = String(context.host ?? context.hostId ?? '')
     return [{ wallMs: time, host, program: String(context.program ?? ''), eventNumber: Number(context.eventNumber), text: message, fields }]
   } catch {
-    // A line that was cut off when it was collected says nothing.
+    // The line was truncated when it was collected.
     return []
   }
 }
 
-function linesAbout (id: string, lines: LogLine[]): ShownLine[] {
-  const own = lines.filter(line => names(line, id))
+function relatedLines (id: string, lines: LogLine[]): ShownLine[] {
+  const own = lines.filter(line => mentions(line, id))
   const [first, last] = [Math.min(...own.map(({ wallMs }) => wallMs)), Math.max(...own.map(({ wallMs }) => wallMs))]
-  const ledToIds = own.flatMap(({ fields }) => LEADING_FIELDS.flatMap(name => (typeof fields[name] === 'string' ? [fields[name]] : [])))
+  const linkedIds = own.flatMap(({ fields }) => LINK_FIELDS.flatMap(name => (typeof fields[name] === 'string' ? [fields[name]] : [])))
   const endpointIds = new Set(own.map(({ fields }) => fields.endpointId))
   const hosts = new Set(own.map(({ host }) => host))
   const relationOf = (line: LogLine): Relation | undefined => {
-    if (names(line, id)) return Relation.Own
-    if (ledToIds.some(other => names(line, other))) return Relation.LedTo
-    // What other hosts learned meanwhile decided nothing here.
-    if (!hosts.has(line.host) || line.wallMs < first - BEFORE_MS || line.wallMs > last) return undefined
+    if (mentions(line, id)) return Relation.Own
+    if (linkedIds.some(other => mentions(line, other))) return Relation.Linked
+    // Concurrent changes matter only on hosts that logged the id.
+    if (!hosts.has(line.host) || line.wallMs < first - LOOKBACK_MS || line.wallMs > last) return undefined
     if (LEADER_EVENTS.has(line.eventNumber)) return Relation.Meanwhile
     return ENDPOINT_EVENTS.has(line.eventNumber) && endpointIds.has(line.fields.endpointId) ? Relation.Meanwhile : undefined
   }
@@ -103,15 +102,15 @@
   return shown.sort((left, right) => left.wallMs - right.wallMs)
 }
 
-function names ({ fields }: LogLine, id: string): boolean {
+function mentions ({ fields }: LogLine, id: string): boolean {
   return Object.values(fields).some(value => value === id || (Array.isArray(value) && value.includes(id)))
 }
 
-const marks: Record<Relation, string> = { [Relation.Own]: '*', [Relation.LedTo]: '+', [Relation.Meanwhile]: ' ' }
+const marks: Record<Relation, string> = { [Relation.Own]: '*', [Relation.Linked]: '+', [Relation.Meanwhile]: ' ' }
 
-/** Seconds since the first line, who said it, and what. */
+/** Seconds since the first line, mark, host, program, event and fields. */
 function describe ({ wallMs, host, program, eventNumber, text, fields, relation }: ShownLine, firstMs: number): string {
   const atS = ((wallMs - firstMs) / 1_000).toFixed(3)
-  const told = Object.entries(fields).map(([name, value]) => `${name}=${Array.isArray(value) ? value.join(',') : String(value)}`)
-  return `${atS.padStart(8)} ${marks[relation]} ${host} ${program} ${eventNumber} ${text} ${told.join(' ')}`
+  const fieldTexts = Object.entries(fields).map(([name, value]) => `${name}=${Array.isArray(value) ? value.join(',') : String(value)}`)
+  return `${atS.padStart(8)} ${marks[relation]} ${host} ${program} ${eventNumber} ${text} ${fieldTexts.join(' ')}`
 }
--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -1,7 +1,7 @@
 /**
- * The operators' calls to control hosts and entry hosts. A call that gets no
- * answer is sent again, to the next control host, until its deadline: every
- * change carries an id, so that a change sent twice is made once.
+ * HTTP client for operator calls to control hosts and entry hosts. A call that
+ * gets no answer is sent again to the next control host until its deadline. Every
+ * change carries an id, so that a change that is sent twice is made only once.
  */
 import { request } from 'undici'
 import { z } from 'zod'
@@ -15,7 +15,7 @@
 export type OperatorAnswer<T> =
   | { kind: 'answered', value: T }
   | { kind: 'notFound' }
-  /** The host answered, but not with what was asked for. */
+  /** The host answered, but not with the expected result. */
   | { kind: 'refused', message: string }
   /** No host answered before the deadline. */
   | { kind: 'unreachable', message: string }
@@ -34,19 +34,19 @@
   | { kind: 'refused', message: string }
   | { kind: 'unreachable', message: string }
 
-const TRY_TIMEOUT_MS = 5_000
+const ATTEMPT_TIMEOUT_MS = 5_000
 const PAUSE_BETWEEN_ROUNDS_MS = 200
 const STATUS_OK = 200
 const FIRST_REDIRECT_STATUS = 300
 const STATUS_NOT_FOUND = 404
 const STATUS_GONE = 410
-/** Statuses after which another host, or the same one later, may do better. */
+/** Statuses after which a retry, at another host or later, may succeed. */
 const RETRIED_STATUSES = [502, 503, 504]
 const resourceListSchema = z.union([z.array(resourceSchema), z.object({ resources: z.array(resourceSchema) })])
 
 export class OperatorClient {
   private readonly _controlAddresses: string[]
-  private _preferred = 0
+  private _hostIndex = 0
 
   /** @param controlAddresses operator addresses of control hosts, `ip:port` */
   constructor (controlAddresses: string[]) {
@@ -55,54 +55,54 @@
 
   async put (kind: ResourceKind, name: string, change: PutResource, progress: Progress): Promise<OperatorAnswer<ResourceResult>> {
     const path = `${operatorPaths.resources}${kind}/${name}`
-    return asResult(await this._askControl({ method: 'PUT', path, body: change }, progress))
+    return asResult(await this._requestControl({ method: 'PUT', path, body: change }, progress))
   }
 
   async delete (kind: ResourceKind, name: string, change: Omit<PutResource, 'spec'>, progress: Progress): Promise<OperatorAnswer<ResourceResult>> {
     const query = new URLSearchParams({ changeId: change.changeId })
     if (change.expectedRevision !== undefined) query.set('expectedRevision', String(change.expectedRevision))
     const path = `${operatorPaths.resources}${kind}/${name}?${query}`
-    return asResult(await this._askControl({ method: 'DELETE', path }, progress))
+    return asResult(await this._requestControl({ method: 'DELETE', path }, progress))
   }
 
   async get (kind: ResourceKind, name: string, progress: Progress): Promise<OperatorAnswer<Resource>> {
-    return asAnswer(await this._askControl({ method: 'GET', path: `${operatorPaths.resources}${kind}/${name}` }, progress), resourceSchema)
+    return asAnswer(await this._requestControl({ method: 'GET', path: `${operatorPaths.resources}${kind}/${name}` }, progress), resourceSchema)
   }
 
   async list (kind: ResourceKind, progress: Progress): Promise<OperatorAnswer<Resource[]>> {
-    const answer = asAnswer(await this._askControl({ method: 'GET', path: `${operatorPaths.resources}${kind}` }, progress), resourceListSchema)
+    const answer = asAnswer(await this._requestControl({ method: 'GET', path: `${operatorPaths.resources}${kind}` }, progress), resourceListSchema)
     if (answer.kind !== 'answered') return answer
     return { kind: 'answered', value: Array.isArray(answer.value) ? answer.value : answer.value.resources }
   }
 
   async status (progress: Progress): Promise<OperatorAnswer<ClusterStatus>> {
-    return asAnswer(await this._askControl({ method: 'GET', path: operatorPaths.status }, progress), clusterStatusSchema)
+    return asAnswer(await this._requestControl({ method: 'GET', path: operatorPaths.status }, progress), clusterStatusSchema)
   }
 
   async jobProgress (job: string, progress: Progress): Promise<OperatorAnswer<RolloutProgress>> {
-    return asAnswer(await this._askControl({ method: 'GET', path: `${operatorPaths.jobs}${job}/progress` }, progress), rolloutProgressSchema)
+    return asAnswer(await this._requestControl({ method: 'GET', path: `${operatorPaths.jobs}${job}/progress` }, progress), rolloutProgressSchema)
   }
 
   async quarantine (progress: Progress): Promise<OperatorAnswer<QuarantineList>> {
-    return asAnswer(await this._askControl({ method: 'GET', path: operatorPaths.quarantine }, progress), quarantineListSchema)
+    return asAnswer(await this._requestControl({ method: 'GET', path: operatorPaths.quarantine }, progress), quarantineListSchema)
   }
 
   async liftQuarantine (digest: string, progress: Progress): Promise<OperatorAnswer<unknown>> {
-    return asAnswer(await this._askControl({ method: 'DELETE', path: `${operatorPaths.quarantine}${encodeURIComponent(digest)}` }, progress), z.unknown())
+    return asAnswer(await this._requestControl({ method: 'DELETE', path: `${operatorPaths.quarantine}${encodeURIComponent(digest)}` }, progress), z.unknown())
   }
 
-  /** One try at one entry host. */
-  async askEntryHost (address: string, call: HttpCall, progress: Progress): Promise<OperatorAnswer<unknown>> {
+  /** Sends a call once to one entry host. */
+  async requestEntryHost (address: string, call: HttpCall, progress: Progress): Promise<OperatorAnswer<unknown>> {
     return asAnswer(await send(address, call, progress), z.unknown())
   }
 
-  /** Opens a watch at any control host; the body holds server-sent events. */
+  /** Opens a watch at any control host; the body is a stream of server-sent events. */
   async watch (fromRevision: number, kind: ResourceKind | undefined, progress: Progress): Promise<WatchStart> {
     const query = new URLSearchParams({ fromRevision: String(fromRevision) })
     if (kind) query.set('kind', kind)
     let message = 'no control host was tried'
     while (!progress.isOver()) {
-      const host = this._hostToTry()
+      const host = this._currentHost()
       try {
         const answer = await request(`http://${host}${operatorPaths.watch}?${query}`, { bodyTimeout: 0, signal: progress.scope.signal() })
         if (answer.statusCode === STATUS_OK) return { kind: 'streaming', host, body: answer.body }
@@ -114,32 +114,32 @@
       } catch (error) {
         message = `${host}: ${describeError(error)}`
       }
-      await this._moveOn(progress)
+      await this._selectNextHost(progress)
     }
     return { kind: 'unreachable', message }
   }
 
-  private async _askControl (call: HttpCall, progress: Progress): Promise<HttpReply> {
+  private async _requestControl (call: HttpCall, progress: Progress): Promise<HttpReply> {
     let reason = 'no control host was tried'
     while (!progress.isOver()) {
-      const host = this._hostToTry()
+      const host = this._currentHost()
       const reply = await send(host, call, progress)
       if (reply.kind === 'reply' && !RETRIED_STATUSES.includes(reply.status)) return reply
       reason = reply.kind === 'lost' ? reply.reason : `${host}: status ${reply.status}: ${JSON.stringify(reply.value)}`
       progress.log(reason)
-      await this._moveOn(progress)
+      await this._selectNextHost(progress)
     }
     return { kind: 'lost', reason }
   }
 
-  private _hostToTry (): string {
-    return this._controlAddresses[this._preferred % this._controlAddresses.length] ?? ''
+  private _currentHost (): string {
+    return this._controlAddresses[this._hostIndex % this._controlAddresses.length] ?? ''
   }
 
-  /** To the next host; a pause after each round over all of them. */
-  private async _moveOn (progress: Progress): Promise<void> {
-    this._preferred++
-    if (this._preferred % this._controlAddresses.length !== 0) return
+  /** Moves to the next host; pauses after each round over all hosts. */
+  private async _selectNextHost (progress: Progress): Promise<void> {
+    this._hostIndex++
+    if (this._hostIndex % this._controlAddresses.length !== 0) return
     const untilMs = Math.min(progress.deadlineMs, progress.clock.nowMs() + PAUSE_BETWEEN_ROUNDS_MS)
     await sleepUntil(progress.clock, progress.scope, untilMs)
   }
@@ -151,7 +151,7 @@
       method,
       headers: body === undefined ? {} : { 'content-type': 'application/json' },
       body: body === undefined ? undefined : JSON.stringify(body),
-      signal: AbortSignal.timeout(Math.ceil(Math.min(TRY_TIMEOUT_MS, progress.remainingMs())))
+      signal: AbortSignal.timeout(Math.ceil(Math.min(ATTEMPT_TIMEOUT_MS, progress.remainingMs())))
     })
     const text = await answer.body.text()
     return { kind: 'reply', status: answer.statusCode, value: parseJson(text) }
@@ -169,7 +169,7 @@
   return { kind: 'refused', message: `status ${reply.status}: ${JSON.stringify(reply.value)}` }
 }
 
-/** Conflicts and invalid specs are results, whatever status carries them. */
+/** Conflicts and invalid specs are results, regardless of the HTTP status. */
 function asResult (reply: HttpReply): OperatorAnswer<ResourceResult> {
   if (reply.kind === 'lost') return { kind: 'unreachable', message: reply.reason }
   const parsed = resourceResultSchema.safeParse(reply.value)
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,4 +1,4 @@
-/** Where commands write: results to one side, errors to the other. */
+/** Output of the commands: results to standard output, errors to standard error. */
 import Table from 'cli-table3'
 
 export interface Output {
@@ -6,7 +6,7 @@
   error (line: string): void
 }
 
-// Whoever reads the output may have seen enough, as `head` does.
+// The reader may close the pipe early, as `head` does.
 process.stdout.on('error', (error: NodeJS.ErrnoException) => {
   if (error.code !== 'EPIPE') throw error
   process.exit()
--- a/src/cli/statusCommand.ts
+++ b/src/cli/statusCommand.ts
@@ -1,4 +1,4 @@
-/** `threaddrum status`: hosts and what is in force on them, or a job's progress. */
+/** `threaddrum status`: shows the hosts and the revision in force on each, or the progress of a job. */
 import type { ClusterStatus } from '../protocol/operators.js'
 import type { RolloutProgress } from '../protocol/rolloutProgress.js'
 import { sleepUntil } from '../utils/clock.js'
@@ -15,7 +15,7 @@
   return ExitCode.Done
 }
 
-/** Prints the progress of a job once, or every second until time is up. */
+/** Prints the progress of a job once, or every second until the deadline. */
 export async function runJobStatus (context: CommandContext, job: string, follow: boolean): Promise<ExitCode> {
   const { client, progress, output } = context
   for (;;) {
--- a/src/cli/waitUntilInForce.ts
+++ b/src/cli/waitUntilInForce.ts
@@ -6,21 +6,21 @@
 
 const POLL_MS = 200
 
-/** Names the hosts that do not have the revision in force when time is up. */
+/** At the deadline, reports the hosts where the revision is not in force. */
 export async function waitUntilInForce (context: CommandContext, revision: number): Promise<ExitCode> {
   const { client, progress, output } = context
-  let behind: EntryHostStatus[] = []
+  let laggingHosts: EntryHostStatus[] = []
   while (!progress.isOver()) {
     const answer = await client.status(progress)
-    if (answer.kind === 'unreachable' && behind.length > 0) break
+    if (answer.kind === 'unreachable' && laggingHosts.length > 0) break
     if (answer.kind !== 'answered') return reportFailure(context, 'status', answer)
-    behind = answer.value.entryHosts.filter(host => host.revisionInForce < revision)
-    if (behind.length === 0) {
+    laggingHosts = answer.value.entryHosts.filter(host => host.revisionInForce < revision)
+    if (laggingHosts.length === 0) {
       if (!context.asJson) output.print(`revision ${revision} is in force on all ${answer.value.entryHosts.length} entry hosts`)
       return ExitCode.Done
     }
     await sleepUntil(progress.clock, progress.scope, Math.min(progress.deadlineMs, progress.clock.nowMs() + POLL_MS))
   }
-  for (const host of behind) output.error(`${host.hostId} (${host.dataCentre}): not in force, it has revision ${host.revisionInForce} of ${revision}`)
+  for (const host of laggingHosts) output.error(`${host.hostId} (${host.dataCentre}): not in force, it has revision ${host.revisionInForce} of ${revision}`)
   return ExitCode.Timeout
 }
--- a/src/cli/watchCommand.ts
+++ b/src/cli/watchCommand.ts
@@ -1,6 +1,6 @@
 /**
- * `threaddrum watch`: changes of resources as they are made. A watch that is
- * cut goes on behind the last revision it has shown.
+ * `threaddrum watch`: shows changes of resources as they happen. A watch whose
+ * connection is lost resumes after the last revision that was shown.
  */
 import { EventSourceParserStream } from 'eventsource-parser/stream'
 import { ReadableStream } from 'node:stream/web'
@@ -12,7 +12,7 @@
 export interface WatchOptions {
   fromRevision: number
   kind?: ResourceKind
-  /** Ends after so many events; undefined goes on until stopped. */
+  /** Ends after this many events; if undefined, runs until stopped. */
   maxEventsCount?: number
 }
 
@@ -48,7 +48,7 @@
       if (parsed.success) yield parsed.data
     }
   } catch {
-    // The connection was cut: the watch goes on at another host.
+    // The connection was lost: the watch resumes at another host.
   }
 }
 
--- a/src/utils/clock.ts
+++ b/src/utils/clock.ts
@@ -1,7 +1,7 @@
 /**
- * Time as an argument. Deadlines are instants of the monotonic clock, in
- * milliseconds; what crosses the wire is the time that remains, because the
- * clocks of hosts are not in step.
+ * Injectable clock. Deadlines are points in time of the monotonic clock, in
+ * milliseconds. Messages between hosts carry the remaining time instead, because
+ * the clocks of hosts are not synchronized.
  */
 import type { Scope } from './scope.js'
 import { SuspensionSense } from './suspension.js'
@@ -10,25 +10,25 @@
   /** Monotonic, in milliseconds from an arbitrary origin. */
   nowMs (): number
   /**
-   * Like nowMs, and on by whatever this host may have missed while its machine was
-   * suspended; a clock that is set ahead looks the same. For leases and what proves
-   * them: nothing that is ended by it is lost. Never for the deadline of a request.
+   * Like nowMs, advanced by the time that the machine may have been suspended; a wall
+   * clock that is set forward looks the same. Meant for leases and the messages that
+   * renew them, where ending one too early loses nothing. Never for request deadlines.
    */
   leaseNowMs (): number
-  /** Milliseconds since the Unix epoch, for records that people read. */
+  /** Milliseconds since the Unix epoch, for timestamps in records and logs. */
   wallMs (): number
-  /** Calls back at the instant; the returned function cancels. */
+  /** Calls back at the deadline; the returned function cancels the timer. */
   callAt (deadlineMs: number, callback: () => void): () => void
 }
 
-/** The start of this process by the system clock, which counts from there. */
+/** Value of `systemClock.nowMs()` when this process started: performance.now() counts from there. */
 export const PROCESS_STARTED_AT_MS = 0
 
-const suspensions = new SuspensionSense(() => performance.now(), () => Date.now())
+const suspensionDetector = new SuspensionSense(() => performance.now(), () => Date.now())
 
 export const systemClock: Clock = {
   nowMs: () => performance.now(),
-  leaseNowMs: () => suspensions.leaseNowMs(),
+  leaseNowMs: () => suspensionDetector.leaseNowMs(),
   wallMs: () => Date.now(),
   callAt (deadlineMs, callback) {
     const delayMs = Math.max(0, deadlineMs - performance.now())
@@ -38,7 +38,7 @@
 }
 
 /**
- * Waits until an instant.
+ * Waits until `deadlineMs` of the monotonic clock.
  * @throws ScopeClosedError when the scope closes first.
  */
 export async function sleepUntil (clock: Clock, scope: Scope, deadlineMs: number): Promise<void> {
--- a/src/utils/enableRoarr.ts
+++ b/src/utils/enableRoarr.ts
@@ -1,5 +1,5 @@
 /**
- * Roarr makes loggers that drop everything unless this is set before it is
- * loaded; import this module ahead of it.
+ * Enables roarr, whose loggers drop all lines unless this variable is set before
+ * the library is loaded. Import this module before roarr.
  */
 process.env.ROARR_LOG ??= 'true'
--- a/src/utils/eventCatalogue.ts
+++ b/src/utils/eventCatalogue.ts
@@ -1,5 +1,5 @@
 /**
- * What the catalogue of numbered log events says of each one.
+ * Types of the catalogue of numbered log events.
  */
 export enum LogLevel {
   Debug = 'debug',
@@ -11,9 +11,9 @@
 /** One entry of the catalogue of log events. */
 export interface EventDescription {
   level: LogLevel
-  /** What happened, in one sentence; also the message of the line. */
+  /** What happened, in one sentence; also the message of the log line. */
   text: string
-  /** What whoever is on call does about it. */
+  /** What the on-call engineer should do about it. */
   advice: string
 }
 
--- a/src/utils/eventStream.ts
+++ b/src/utils/eventStream.ts
@@ -1,6 +1,6 @@
 /**
- * A most stream that is fed by calls: each value reaches the observers of the
- * moment before `emit` returns. Nothing is kept for observers that come later.
+ * A `most` stream that is fed by calls of `emit`. Each value reaches all current
+ * observers before `emit` returns; values are not buffered for later observers.
  */
 import { Stream, type Scheduler, type Sink } from 'most'
 
--- a/src/utils/everySecond.ts
+++ b/src/utils/everySecond.ts
@@ -1,17 +1,17 @@
 /**
- * The pace of gauges: one task of a process sets them, however often what they
- * show changes.
+ * The interval at which gauges are updated: one task of the process sets them,
+ * however often their values change.
  */
 import { sleepUntil, type Clock } from './clock.js'
 import type { Scope } from './scope.js'
 
-/** Whoever collects metrics asks far less often; a host under load takes minutes, not seconds, to use up its memory. */
+/** Metrics are scraped far less often, and a host under load takes minutes, not seconds, to exhaust its memory. */
 export const GAUGE_INTERVAL_MS = 1_000
 
-/** Calls at once and then each second, until the scope closes. */
-export async function everySecond (clock: Clock, scope: Scope, set: () => void): Promise<void> {
+/** Calls `update` immediately and then every second, until the scope closes. */
+export async function everySecond (clock: Clock, scope: Scope, update: () => void): Promise<void> {
   for (;;) {
-    set()
+    update()
     await sleepUntil(clock, scope, clock.nowMs() + GAUGE_INTERVAL_MS)
   }
 }
--- a/src/utils/logBudget.ts
+++ b/src/utils/logBudget.ts
@@ -1,34 +1,34 @@
 /**
- * Bounds what a process writes to its log, by lines a second and by bytes that
- * whoever reads it has not taken yet, so that neither a burst of requests nor a
- * reader that has stopped costs a request. What is left out is counted.
+ * Limits what a process writes to its log, in lines per second and in bytes that
+ * the log's reader has not consumed yet, so that neither a burst of requests nor a
+ * stalled reader makes a request fail. Dropped lines are counted.
  */
 import type { Clock } from './clock.js'
 import { LogLevel } from './eventCatalogue.js'
 
-export enum LeftOutReason {
-  /** More lines than the budget allows. */
+export enum DropReason {
+  /** The rate limit was exceeded. */
   OverBudget = 'over_budget',
-  /** Whoever reads the log has stopped, or is too slow. */
+  /** The reader of the log has stopped or is too slow. */
   ReaderStalled = 'reader_stalled'
 }
 
 export interface LogBudgetOptions {
   clock: Clock
-  /** Bytes that were written and not taken yet. */
+  /** Bytes that were written and that the reader has not consumed yet. */
   pendingBytes: () => number
   linesPerSecond: number
-  /** Lines that may come at once after a quiet time. */
+  /** Maximum number of lines in a burst. */
   burstCount: number
-  /** Of the burst, lines that are kept for warnings and errors. */
+  /** Part of the burst that is reserved for warnings and errors. */
   reservedCount: number
   maxPendingBytes: number
-  onLeftOut: (reason: LeftOutReason) => void
+  onDropped: (reason: DropReason) => void
 }
 
-export type LeftOutCounts = Record<'overBudgetCount' | 'readerStalledCount', number>
+export type DroppedCounts = Record<'overBudgetCount' | 'readerStalledCount', number>
 
-/** A count of lines that were left out is told no more often than this. */
+/** Minimum time between two reports of dropped lines. */
 const REPORT_INTERVAL_MS = 1_000
 const MS_PER_S = 1_000
 
@@ -37,7 +37,7 @@
   private _availableCount: number
   private _refilledAtMs: number
   private _reportedAtMs = Number.NEGATIVE_INFINITY
-  private _leftOut: LeftOutCounts = { overBudgetCount: 0, readerStalledCount: 0 }
+  private _dropped: DroppedCounts = { overBudgetCount: 0, readerStalledCount: 0 }
 
   constructor (options: LogBudgetOptions) {
     this._options = options
@@ -45,34 +45,34 @@
     this._refilledAtMs = options.clock.nowMs()
   }
 
-  /** Whether a line may be written; one that may not is counted. */
+  /** Whether a line may be written; counts the line as dropped if not. */
   admits (level: LogLevel): boolean {
     const { pendingBytes, maxPendingBytes, reservedCount } = this._options
     if (pendingBytes() > maxPendingBytes) {
-      this._leftOut.readerStalledCount++
-      this._options.onLeftOut(LeftOutReason.ReaderStalled)
+      this._dropped.readerStalledCount++
+      this._options.onDropped(DropReason.ReaderStalled)
       return false
     }
     this._refill()
     const floorCount = isUrgent(level) ? 0 : reservedCount
     if (this._availableCount - 1 < floorCount) {
-      this._leftOut.overBudgetCount++
-      this._options.onLeftOut(LeftOutReason.OverBudget)
+      this._dropped.overBudgetCount++
+      this._options.onDropped(DropReason.OverBudget)
       return false
     }
     this._availableCount--
     return true
   }
 
-  /** What was left out since the last report, when a report is due. */
-  takeReport (): LeftOutCounts | undefined {
+  /** Counts of lines dropped since the last report; undefined when no report is due. */
+  takeReport (): DroppedCounts | undefined {
     const nowMs = this._options.clock.nowMs()
-    const leftOut = this._leftOut
-    const isNews = leftOut.overBudgetCount + leftOut.readerStalledCount > 0
-    if (!isNews || nowMs - this._reportedAtMs < REPORT_INTERVAL_MS) return undefined
+    const dropped = this._dropped
+    const hasDropped = dropped.overBudgetCount + dropped.readerStalledCount > 0
+    if (!hasDropped || nowMs - this._reportedAtMs < REPORT_INTERVAL_MS) return undefined
     this._reportedAtMs = nowMs
-    this._leftOut = { overBudgetCount: 0, readerStalledCount: 0 }
-    return leftOut
+    this._dropped = { overBudgetCount: 0, readerStalledCount: 0 }
+    return dropped
   }
 
   private _refill (): void {
--- a/src/utils/logEvents.ts
+++ b/src/utils/logEvents.ts
@@ -1,12 +1,12 @@
 /**
- * Log events of the log itself: 900 to 909. They belong to every catalogue.
+ * Log events about the log itself: 900 to 909. Every catalogue includes them.
  */
 import { LogLevel, type EventCatalogue } from './eventCatalogue.js'
 
 export enum LogEvent {
-  LinesLeftOut = 900
+  LinesDropped = 900
 }
 
 export const logEventCatalogue: EventCatalogue = {
-  [LogEvent.LinesLeftOut]: { level: LogLevel.Warn, text: 'Lines of the log were left out.', advice: 'Over budget: the metrics still count every request. Reader stalled: look at whatever collects the log.' }
+  [LogEvent.LinesDropped]: { level: LogLevel.Warn, text: 'Log lines were dropped.', advice: 'Over budget: the metrics still count every request. Reader stalled: check the process that collects the log.' }
 }
--- a/src/utils/logOutput.ts
+++ b/src/utils/logOutput.ts
@@ -1,25 +1,25 @@
 /**
- * Where the log goes: a stream such as standard output, within a budget, so
- * that the log never holds the process up. A pipe takes what it has room for;
- * the rest waits in memory up to a bound, and then lines are left out.
+ * Writes the log to a stream such as standard output, within a budget, so that
+ * logging never blocks the process. What the pipe does not accept is buffered in
+ * memory up to a limit; beyond it, lines are dropped.
  */
 import type { Writable } from 'node:stream'
 import type { Clock } from './clock.js'
-import { LogBudget, type LeftOutReason } from './logBudget.js'
+import { LogBudget, type DropReason } from './logBudget.js'
 import { writeLogsTo } from './logger.js'
 
-/** A store host that leads wrote 415 lines in the busiest second of a day of high load; see docs/OPERATIONS.md. */
+/** The leading store host wrote 415 lines in the busiest second of a day of high load; see docs/OPERATIONS.md. */
 const LINES_PER_SECOND = 500
-/** What comes at once after a start or a change of leader. */
+/** Covers the burst of lines after a start or a change of leader. */
 const BURST_COUNT = 2_000
 const RESERVED_COUNT = 250
-/** A stalled reader costs this much memory, of the 200 MB that the smallest hosts have. */
+/** Memory that a stalled reader may cost; the smallest hosts have 200 MB. */
 const MAX_PENDING_BYTES = 512 * 1024
 
 export interface LogOutputOptions {
   stream: Writable
   clock: Clock
-  onLeftOut: (reason: LeftOutReason) => void
+  onLeftOut: (reason: DropReason) => void
 }
 
 export class LogOutput {
@@ -27,7 +27,7 @@
   private readonly _stream: Writable
   private _isBroken = false
 
-  constructor ({ stream, clock, onLeftOut }: LogOutputOptions) {
+  constructor ({ stream, clock, onLeftOut: onLineDropped }: LogOutputOptions) {
     this._stream = stream
     this.budget = new LogBudget({
       clock,
@@ -36,18 +36,18 @@
       burstCount: BURST_COUNT,
       reservedCount: RESERVED_COUNT,
       maxPendingBytes: MAX_PENDING_BYTES,
-      onLeftOut
+      onDropped: onLineDropped
     })
-    // Nobody reads any more: lines are left out and counted from here on.
+    // The reader has closed the stream: all further lines are dropped and counted.
     stream.on('error', () => { this._isBroken = true })
   }
 
-  /** Directs the logs of this process here. */
+  /** Makes this stream the log destination of this process. */
   use (): void {
     writeLogsTo(line => this._stream.write(line))
   }
 
-  /** Waits until everything was taken, or a reader that stalls has had its time. */
+  /** Waits until all pending lines were written, at most until the deadline. */
   async flush (clock: Clock, deadlineMs: number): Promise<void> {
     if (this._isBroken) return
     await new Promise<void>(resolve => {
--- a/src/utils/logger.ts
+++ b/src/utils/logger.ts
@@ -1,7 +1,7 @@
 /**
- * Structured logs by roarr, one JSON line an event. Every
- * event has a number; the enums of numbers and their texts stand with the
- * layer that emits them, and docs/LOG-EVENTS.md is made from them.
+ * Structured logging with roarr, one JSON line per event. Every event has a
+ * number. The enums of numbers and their texts are declared in the layer that
+ * emits them, and docs/LOG-EVENTS.md is generated from them.
  */
 import './enableRoarr.js'
 import { Roarr, ROARR } from 'roarr'
@@ -20,19 +20,19 @@
   child (fields: LogFields): Logger
 }
 
-/** Directs roarr's lines to a writer; without a call nothing is written. */
+/** Passes roarr's lines to a writer; nothing is written until this is called. */
 export function writeLogsTo (write: (line: string) => void): void {
   ROARR.write = line => write(`${line}\n`)
 }
 
-/** What bounds the volume of a log. */
+/** Limits the volume of a log. */
 export interface LineBudget {
   admits (level: LogLevel): boolean
-  /** Counts of the lines that were left out, when they are to be told. */
+  /** Counts of the dropped lines; undefined when no report is due. */
   takeReport (): LogFields | undefined
 }
 
-/** @param budget without one every line is written */
+/** @param budget limits the number of lines; without it every line is written */
 export function createLogger (catalogue: EventCatalogue, context: LogFields, budget?: LineBudget): Logger {
   const events: EventCatalogue = { ...catalogue, ...logEventCatalogue }
   const write = (number: number, fields: LogFields): void => {
@@ -43,8 +43,8 @@
   return {
     event (number, fields = {}) {
       if (budget && !budget.admits(levelOf(number))) return
-      const leftOut = budget?.takeReport()
-      if (leftOut) write(LogEvent.LinesLeftOut, leftOut)
+      const dropped = budget?.takeReport()
+      if (dropped) write(LogEvent.LinesDropped, dropped)
       write(number, fields)
     },
     child: fields => createLogger(catalogue, { ...context, ...fields }, budget)
--- a/src/utils/median.ts
+++ b/src/utils/median.ts
@@ -1,4 +1,4 @@
-/** Of an even number of values, the mean of the two in the middle; 0 of none. */
+/** For an even number of values, the mean of the two middle ones; 0 if there are none. */
 export function median (values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right)
   const middle = sorted.length / 2
--- a/src/utils/memoryEvents.ts
+++ b/src/utils/memoryEvents.ts
@@ -1,6 +1,6 @@
 /**
- * Log events of the memory of a process: 910 to 919. They belong to every
- * program on the platform.
+ * Log events about the memory of a process: 910 to 919. Every program on the
+ * platform includes them.
  */
 import { LogLevel, type EventCatalogue } from './eventCatalogue.js'
 
@@ -10,6 +10,6 @@
 }
 
 export const memoryEventCatalogue: EventCatalogue = {
-  [MemoryEvent.LevelPassed]: { level: LogLevel.Warn, text: 'The resident memory of this process has passed a level of what its host allows it.', advice: 'At 85 percent find out what grows: the heap (heapBytes), buffers (externalBytes), or neither. At 95 percent expect that the process is ended; see "When accepted batches can\'t be read" in OPERATIONS.md.' },
-  [MemoryEvent.LevelLeft]: { level: LogLevel.Info, text: 'The resident memory of this process is below a level again.', advice: 'None.' }
+  [MemoryEvent.LevelPassed]: { level: LogLevel.Warn, text: 'The resident memory of this process has reached a warning level of its memory limit.', advice: 'At 85 percent find out what grows: the heap (heapBytes), buffers (externalBytes), or neither. At 95 percent expect the host to kill the process; see "When accepted batches can\'t be read" in OPERATIONS.md.' },
+  [MemoryEvent.LevelLeft]: { level: LogLevel.Info, text: 'The resident memory of this process is below a warning level again.', advice: 'None.' }
 }
--- a/src/utils/memoryWatch.ts
+++ b/src/utils/memoryWatch.ts
@@ -1,8 +1,8 @@
 /**
- * Watches how near this process is to the memory that its host allows it.
- * Gauges tell it each second; the log says once when a level is passed and once when it is
- * left again, so that the last lines of a process that the host has ended
- * show whether memory was the cause.
+ * Monitors how close this process is to the memory limit that its host sets.
+ * Gauges are updated every second. One log line is written when a warning level is
+ * reached and one when memory is below it again, so that the last lines of a
+ * process that was killed show whether memory was the cause.
  */
 import type { Clock } from './clock.js'
 import { everySecond } from './everySecond.js'
@@ -13,42 +13,41 @@
 import type { Scope } from './scope.js'
 
 export interface MemoryUse {
-  /** Pages of the process that are in memory. */
+  /** Resident set size of the process. */
   residentBytes: number
-  /** Objects of the program. */
+  /** Used JavaScript heap. */
   heapBytes: number
-  /** Buffers outside of the heap. */
+  /** Buffers outside the heap. */
   externalBytes: number
 }
 
-/** One read. */
 export type MemoryReader = () => MemoryUse
 
-export interface MemoryWatchParts {
+export interface MemoryWatchOptions {
   clock: Clock
   logger: Logger
   metrics: Metrics
   read: MemoryReader
-  /** What the host allows this process; without it there are gauges only. */
+  /** Memory limit that the host sets; if undefined, only gauges are updated. */
   limitBytes: number | undefined
 }
 
-/** The rest is needed as room for a copy of what the process holds, while it takes or loads a snapshot. */
+/** Above this, memory may not suffice for the copy of the state that exists while a snapshot is taken or loaded. */
 const HIGH_PERCENT = 70
-/** Below it garbage that waits for its collection explains what is resident; above it something grows. */
+/** Below this, uncollected garbage explains the resident memory; above it, something grows. */
 const VERY_HIGH_PERCENT = 85
-/** A few large messages or one piece of a snapshot may now pass the limit: the last line before the end. */
+/** A few large messages or one snapshot chunk may now exceed the limit: possibly the last log line of the process. */
 const NEARLY_FULL_PERCENT = 95
 export const MEMORY_LEVELS_PERCENT = [HIGH_PERCENT, VERY_HIGH_PERCENT, NEARLY_FULL_PERCENT]
-/** A collection of garbage moves the resident memory by a few percent of the limit; a level is left only below that. */
-export const LEAVING_MARGIN_PERCENT = 5
+/** Hysteresis: garbage collection changes the resident memory by a few percent of the limit, so a level is cleared only this far below it. */
+export const CLEARING_MARGIN_PERCENT = 5
 
 const BYTES_PER_MEGABYTE = 1024 * 1024
 
 /**
- * Memory of this process. A read took 13 us of processor time, that of the
- * resident pages alone 11 us (process.memoryUsage() and
- * process.memoryUsage.rss(), 2,000 of each, one run, 550 MB resident).
+ * Reads the memory of this process. With 550 MB resident, a read takes 13 us of
+ * processor time; process.memoryUsage.rss() alone would take 11 us (2,000 calls
+ * of each, one run).
  */
 export const processMemory: MemoryReader = () => {
   const { rss, heapUsed, external } = process.memoryUsage()
@@ -60,20 +59,20 @@
 }
 
 export class MemoryWatch {
-  private readonly _parts: MemoryWatchParts
-  /** Levels that are passed at present. */
-  private readonly _passed = new Set<number>()
+  private readonly _options: MemoryWatchOptions
+  /** Levels that were reached and not cleared since. */
+  private readonly _exceededLevels = new Set<number>()
 
-  constructor (parts: MemoryWatchParts) {
-    this._parts = parts
+  constructor (options: MemoryWatchOptions) {
+    this._options = options
   }
 
   async run (scope: Scope): Promise<void> {
-    await everySecond(this._parts.clock, scope, () => this._readOnce())
+    await everySecond(this._options.clock, scope, () => this._readOnce())
   }
 
   private _readOnce (): void {
-    const { metrics, limitBytes, read } = this._parts
+    const { metrics, limitBytes, read } = this._options
     const use = read()
     metrics.gauge(MetricName.MemoryResidentBytes, use.residentBytes)
     metrics.gauge(MetricName.MemoryHeapBytes, use.heapBytes)
@@ -86,12 +85,12 @@
   private _compare (levelPercent: number, use: MemoryUse, limitBytes: number): void {
     const usedPercent = 100 * use.residentBytes / limitBytes
     const fields: LogFields = { levelPercent, limitBytes, ...use }
-    if (!this._passed.has(levelPercent) && usedPercent >= levelPercent) {
-      this._passed.add(levelPercent)
-      this._parts.logger.event(MemoryEvent.LevelPassed, fields)
-    } else if (this._passed.has(levelPercent) && usedPercent < levelPercent - LEAVING_MARGIN_PERCENT) {
-      this._passed.delete(levelPercent)
-      this._parts.logger.event(MemoryEvent.LevelLeft, fields)
+    if (!this._exceededLevels.has(levelPercent) && usedPercent >= levelPercent) {
+      this._exceededLevels.add(levelPercent)
+      this._options.logger.event(MemoryEvent.LevelPassed, fields)
+    } else if (this._exceededLevels.has(levelPercent) && usedPercent < levelPercent - CLEARING_MARGIN_PERCENT) {
+      this._exceededLevels.delete(levelPercent)
+      this._options.logger.event(MemoryEvent.LevelLeft, fields)
     }
   }
 }
--- a/src/utils/metrics.ts
+++ b/src/utils/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * What is counted and measured, and a store of it in memory for `threaddrum
+ * The interface for metrics, and an in-memory implementation for `threaddrum
  * status` and for tests.
  */
 import type { MetricName } from './metricNames.js'
--- a/src/utils/programMain.ts
+++ b/src/utils/programMain.ts
@@ -1,6 +1,6 @@
 /**
- * What the programs that run on hosts share: their options, settings, checks
- * before the start, logs, metrics, signals and exit codes.
+ * Entry point that the programs on hosts share: command-line options, settings,
+ * startup checks, logs, metrics, signals and exit codes.
  */
 import { cac } from 'cac'
 import type { z } from 'zod'
@@ -12,7 +12,7 @@
 import { memoryMetrics, type Metrics } from './metrics.js'
 import { productVersion } from './productVersion.js'
 import { parseAddress, readSettings } from './settings.js'
-import { checkStartupNeeds, type StartupNeeds } from './startupChecks.js'
+import { checkStartupRequirements, type StartupRequirements } from './startupChecks.js'
 import { statsdMetrics } from './statsdMetrics.js'
 
 export enum ProgramExit {
@@ -21,23 +21,23 @@
   BrokenInvariant = 70
 }
 
-/** What the settings of every such program hold. */
+/** Settings that every such program has. */
 export interface HostSettings {
   host: { hostId: string, dataCentre: string }
   metrics?: { statsdAddress: string } | undefined
 }
 
-export interface ProgramParts {
+export interface ProgramContext {
   logger: Logger
   metrics: Metrics
-  /** Ends the process, because what it holds can no longer be trusted. */
+  /** Exits the process because its state can no longer be trusted. */
   onFatal: (error: unknown) => void
-  /** Ends the process after a planned stop. */
+  /** Exits the process after a planned stop. */
   onStopped: () => void
 }
 
 export interface RunningProgram {
-  /** Begins the planned stop. */
+  /** Starts the planned stop. */
   stop: () => Promise<void>
 }
 
@@ -46,8 +46,8 @@
   settingsSchema: z.ZodType<Settings>
   eventCatalogue: EventCatalogue
   brokenInvariantEvent: number
-  needs: (settings: Settings) => StartupNeeds
-  start: (settings: Settings, parts: ProgramParts) => Promise<RunningProgram>
+  requirements: (settings: Settings) => StartupRequirements
+  start: (settings: Settings, context: ProgramContext) => Promise<RunningProgram>
 }
 
 export async function runProgram<Settings extends HostSettings> (description: ProgramDescription<Settings>): Promise<void> {
@@ -55,7 +55,7 @@
   if (settingsFile === undefined) return
   try {
     const settings = readSettings(settingsFile, description.settingsSchema)
-    await checkStartupNeeds(settingsFile, description.needs(settings))
+    await checkStartupRequirements(settingsFile, description.requirements(settings))
     await start(description, settings)
   } catch (error) {
     if (!(error instanceof SettingsError)) throw error
@@ -64,7 +64,7 @@
   }
 }
 
-/** The settings file; undefined when there is nothing to run. */
+/** Path of the settings file; undefined when there is nothing to run. */
 function readOptions (name: string): string | undefined {
   const cli = cac(name)
   cli.option('--settings <file>', 'Settings of this host, in TOML')
@@ -81,8 +81,8 @@
 async function start<Settings extends HostSettings> (description: ProgramDescription<Settings>, settings: Settings): Promise<void> {
   const { hostId, dataCentre } = settings.host
   const metrics = settings.metrics ? statsdMetrics(parseAddress(settings.metrics.statsdAddress), { hostId, dataCentre }) : memoryMetrics()
-  const onLeftOut = (reason: string): void => metrics.count(MetricName.LogLinesLeftOut, { reason })
-  const output = new LogOutput({ stream: process.stderr, clock: systemClock, onLeftOut })
+  const countDropped = (reason: string): void => metrics.count(MetricName.LogLinesLeftOut, { reason })
+  const output = new LogOutput({ stream: process.stderr, clock: systemClock, onLeftOut: countDropped })
   output.use()
   const logger = createLogger(description.eventCatalogue, { program: description.name, hostId }, output.budget)
   const onFatal = (error: unknown): void => {
--- a/src/utils/progress.ts
+++ b/src/utils/progress.ts
@@ -1,6 +1,6 @@
 /**
- * A deadline and a call log, handed down the calls made for one request. The
- * log ends up in the refusal, so that it says what was tried.
+ * A deadline and a call log that are passed down the calls made for one request.
+ * If the request is refused, the refusal contains the log of what was tried.
  */
 import type { Clock } from './clock.js'
 import type { Scope } from './scope.js'
@@ -12,7 +12,7 @@
 export class Progress {
   readonly clock: Clock
   readonly scope: Scope
-  /** Instant of the monotonic clock. */
+  /** Point in time of the monotonic clock. */
   readonly deadlineMs: number
   private readonly _log: string[] = []
 
@@ -39,12 +39,12 @@
     return this.clock.nowMs() >= this.deadlineMs
   }
 
-  /** The same deadline and log line sink, within a narrower scope. */
+  /** A progress with the same deadline in a narrower scope. */
   within (scope: Scope): Progress {
     return new Progress(this.clock, scope, this.deadlineMs)
   }
 
-  /** An earlier deadline for one of several tries. */
+  /** A progress with an earlier deadline, for one of several attempts. */
   before (deadlineMs: number): Progress {
     return new Progress(this.clock, this.scope, Math.min(this.deadlineMs, deadlineMs))
   }
--- a/src/utils/prometheusMetrics.ts
+++ b/src/utils/prometheusMetrics.ts
@@ -1,6 +1,6 @@
 /**
- * Metrics in the text form that Prometheus reads, by prom-client. Names, tags
- * and meanings come from the same catalogue as those sent by StatsD.
+ * Metrics in the Prometheus text format, by prom-client. Names, tags and
+ * descriptions come from the same catalogue as those sent to StatsD.
  */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 import { metricCatalogue, type MetricName } from './metricNames.js'
@@ -8,11 +8,11 @@
 
 export interface ExposedMetrics extends Metrics {
   contentType: string
-  /** All series as text. */
+  /** All series in the text format. */
   text (): Promise<string>
 }
 
-/** Upper bounds of the histograms, in milliseconds: from a sync of the log to the longest item of a batch. */
+/** Upper bounds of the histogram buckets, in milliseconds: from a sync of the log to the longest item of a batch. */
 const BUCKETS_MS = [1, 2, 5, 10, 20, 50, 100, 150, 200, 300, 500, 800, 1_500, 3_000, 6_000, 12_000]
 
 interface Collectors {
@@ -21,7 +21,7 @@
   timings: Map<MetricName, Histogram>
 }
 
-/** `request.duration_ms` becomes `threaddrum_request_duration_ms`; counters end in `_total`, as is the custom. */
+/** `request.duration_ms` becomes `threaddrum_request_duration_ms`; counters end in `_total`, by Prometheus convention. */
 export function prometheusName (name: MetricName): string {
   const base = `threaddrum_${name.replaceAll('.', '_')}`
   return metricCatalogue[name].type === 'counter' ? `${base}_total` : base
@@ -48,7 +48,7 @@
   }
 }
 
-/** Absent until it is set: a zero that nobody measured would be taken for a value. */
+/** Omits the gauge until it is set: an initial zero would be mistaken for a measured value. */
 function createGauge (options: { name: string, help: string, labelNames: string[], registers: Registry[] }): Gauge {
   const gauge = new Gauge(options)
   if (options.labelNames.length === 0) gauge.remove()
--- a/src/utils/randomSource.ts
+++ b/src/utils/randomSource.ts
@@ -1,6 +1,6 @@
 /**
- * Randomness as an argument: a seeded source, so that a test or a fuzz run
- * replays exactly.
+ * Injectable random source. It is seeded, so that a test or a fuzz run can be
+ * replayed exactly.
  */
 import { randomBytes, randomInt } from 'node:crypto'
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
@@ -8,8 +8,8 @@
 
 const MAX_INT = 0x7fffffff
 const ID_BYTES = 8
-const DRAWN_AHEAD_BYTES = 4096
-/** The generator's first numbers hardly differ between small seeds. */
+const PREFETCHED_BYTES = 4096
+/** The first numbers of the generator hardly differ between small seeds. */
 const DISCARDED_COUNT = 64
 
 export interface RandomSource {
@@ -34,20 +34,21 @@
 }
 
 /**
- * Seeded from the operating system, for production. Identifiers come straight
- * from it: a seed of 31 bits is too small to keep those of many hosts apart.
+ * Random source for production, seeded by the operating system. Identifiers come
+ * directly from the operating system, because with a seed of 31 bits those of many
+ * hosts would collide.
  */
 export function systemRandom (): RandomSource {
-  // Drawn ahead: a call to the operating system for every identifier costs more than a request's parsing.
-  let drawn = Buffer.alloc(0)
+  // Prefetched, because one system call per identifier costs more than parsing a request.
+  let prefetched = Buffer.alloc(0)
   let usedBytes = 0
   const id = (): string => {
-    if (usedBytes + ID_BYTES > drawn.length) {
-      drawn = randomBytes(DRAWN_AHEAD_BYTES)
+    if (usedBytes + ID_BYTES > prefetched.length) {
+      prefetched = randomBytes(PREFETCHED_BYTES)
       usedBytes = 0
     }
     usedBytes += ID_BYTES
-    return drawn.toString('hex', usedBytes - ID_BYTES, usedBytes)
+    return prefetched.toString('hex', usedBytes - ID_BYTES, usedBytes)
   }
   return { ...seededRandom(randomInt(MAX_INT)), id }
 }
--- a/src/utils/retryBudget.ts
+++ b/src/utils/retryBudget.ts
@@ -1,12 +1,12 @@
 /**
- * The retry budget of a pool: first tries pay in a tenth of a retry each, so
- * retries add at most a tenth to the load, besides a small steady allowance
- * which lets a pool with little traffic retry at all.
+ * The retry budget of a pool. Each first attempt deposits a tenth of a retry, so
+ * that retries add at most a tenth to the load. A small constant allowance lets a
+ * pool with little traffic retry at all.
  */
 import type { Clock } from './clock.js'
 
-const DEPOSIT_PER_FIRST_TRY = 0.1
-const STEADY_PER_SECOND = 0.5
+const DEPOSIT_PER_FIRST_ATTEMPT = 0.1
+const ALLOWANCE_PER_SECOND = 0.5
 const MAX_BALANCE = 50
 const INITIAL_BALANCE = 10
 
@@ -25,13 +25,13 @@
   }
 
   depositFirstTry (): void {
-    this._add(DEPOSIT_PER_FIRST_TRY)
+    this._add(DEPOSIT_PER_FIRST_ATTEMPT)
   }
 
-  /** False when the budget is spent. */
+  /** Withdraws one retry; false if the budget is exhausted. */
   take (): boolean {
     const nowMs = this._clock.nowMs()
-    this._add((nowMs - this._updatedAtMs) / 1000 * STEADY_PER_SECOND)
+    this._add((nowMs - this._updatedAtMs) / 1000 * ALLOWANCE_PER_SECOND)
     this._updatedAtMs = nowMs
     if (this._balance < 1) return false
     this._balance -= 1
--- a/src/utils/scope.ts
+++ b/src/utils/scope.ts
@@ -1,9 +1,9 @@
 /**
  * Scopes: the lifetime of a connection, a peer task or a whole program.
  *
- * Every await of a task is raced against the scope which owns it, so closing a
- * scope ends everything in it. The idea is Playwright's long-standing scope;
- * here scopes also form a tree, which is the supervisor tree at run time.
+ * Every await of a task is raced against the scope that owns the task, so closing
+ * a scope ends everything in it. The design follows Playwright's LongStandingScope;
+ * here scopes also form a tree, which mirrors the supervisor tree at run time.
  */
 import { ScopeClosedError, type ScopeClosed } from './errors.js'
 
@@ -14,7 +14,7 @@
   private readonly _rejecters = new Set<Rejecter>()
   private readonly _closeCallbacks = new Set<() => void>()
   private _closeReason: string | undefined
-  /** Made when somebody needs it: most scopes close with nobody waiting. */
+  /** Created on demand: most scopes close while nothing waits on them. */
   private _closedError: ScopeClosed | undefined
 
   constructor (name: string) {
@@ -34,7 +34,7 @@
     return this._closeReason
   }
 
-  /** Makes a scope that closes with this one, and that can close before it. */
+  /** Creates a scope that closes with this one and may be closed earlier. */
   child (name: string): Scope {
     const child = new Scope(`${this._name}/${name}`)
     const dispose = this.onClose(() => child.close(this.closeReason ?? 'parent closed'))
@@ -42,7 +42,7 @@
     return child
   }
 
-  /** Calls back once when the scope closes, at once if it has closed already. */
+  /** Calls back once when the scope closes, or immediately if it is closed; the returned function unregisters. */
   onClose (callback: () => void): () => void {
     if (this.isClosed) {
       callback()
@@ -52,7 +52,7 @@
     return () => this._closeCallbacks.delete(callback)
   }
 
-  /** An AbortSignal that fires when the scope closes, for libraries that take one. */
+  /** An AbortSignal that fires when the scope closes, for libraries that accept one. */
   signal (): AbortSignal {
     const controller = new AbortController()
     this.onClose(() => controller.abort(this._error()))
@@ -60,10 +60,10 @@
   }
 
   /**
-   * Runs a call with an AbortSignal that fires when the scope closes before the
-   * call has ended. A scope that closes afterwards makes no error: errors with
-   * their stacks took a tenth of the processor time of a leader with 250 runs
-   * under way (profile of `bench -- leader`).
+   * Runs a call with an AbortSignal that fires if the scope closes before the call
+   * has ended. A scope that closes afterwards creates no error: creating errors with
+   * stack traces took a tenth of the processor time of a leader with 250 concurrent
+   * runs (profile of `bench -- leader`).
    */
   async withSignal<T> (call: (signal: AbortSignal) => Promise<T>): Promise<T> {
     const controller = new AbortController()
--- a/src/utils/settings.ts
+++ b/src/utils/settings.ts
@@ -1,7 +1,7 @@
 /**
- * Settings: TOML files checked against a zod schema. A mistake is one clear
- * error that names file, key, value and what was expected, found before
- * anything starts.
+ * Settings: TOML files that are validated against a zod schema before anything
+ * starts. An invalid setting causes one error that names file, key, value and the
+ * expected form.
  */
 import { readFileSync } from 'node:fs'
 import { parse, TomlError } from 'smol-toml'
@@ -10,7 +10,7 @@
 
 const addressPattern = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/
 
-/** `ip:port`; hosts are known by IP numbers, never by names. */
+/** `ip:port`; hosts are addressed by IPv4 address, never by name. */
 export const addressSchema = z.string().regex(addressPattern, 'expected an address such as 127.0.0.1:7100')
 
 export interface SocketAddress {
@@ -24,8 +24,8 @@
 }
 
 /**
- * Reads and checks a settings file.
- * @throws SettingsError naming the file, the key, the value and the expectation.
+ * Reads and validates a settings file.
+ * @throws SettingsError naming the file, the key, the value and the expected form.
  */
 export function readSettings<S extends z.ZodType> (path: string, schema: S): z.output<S> {
   return checkSettings(path, readText(path), schema)
@@ -36,8 +36,8 @@
 }
 
 /**
- * Checks a value that was read from a file.
- * @param keyPrefix where in the file the value stands
+ * Validates a value that was read from a file.
+ * @param keyPrefix key of the value within the file
  */
 export function checkValue<S extends z.ZodType> (path: string, value: unknown, schema: S, keyPrefix: PropertyKey[] = []): z.output<S> {
   const parsed = schema.safeParse(value)
--- a/src/utils/signal.ts
+++ b/src/utils/signal.ts
@@ -1,13 +1,13 @@
 /**
- * A condition that tasks wait for. Whoever waits checks its condition first
- * and again after every wake-up; a waiter that gives up leaves nothing behind.
+ * A condition variable. A waiting task checks its condition before it waits and
+ * after every wake-up. A waiter that times out or is cancelled is removed.
  */
 import type { Clock } from './clock.js'
 import type { Scope } from './scope.js'
 
 export interface WaitLimit {
   clock: Clock
-  /** Instant of the monotonic clock. */
+  /** Point in time of the monotonic clock. */
   deadlineMs: number
 }
 
--- a/src/utils/startupChecks.ts
+++ b/src/utils/startupChecks.ts
@@ -1,24 +1,24 @@
 /**
- * What a program needs of its host, checked before anything starts, so that a
- * port in use or a folder that cannot be written is one clear error.
+ * What a program requires of its host. It is checked before anything starts, so
+ * that a port in use or a folder without write access causes one clear error.
  */
 import { access, constants, mkdir } from 'node:fs/promises'
 import { createServer } from 'node:net'
 import { SettingsError } from './errors.js'
 import { parseAddress } from './settings.js'
 
-export interface StartupNeeds {
+export interface StartupRequirements {
   /** Addresses to listen on, by their key in the settings. */
   addresses: Record<string, string>
-  /** Folders to write to, by their key in the settings. */
+  /** Folders that must be writable, by their key in the settings. */
   folders: Record<string, string>
 }
 
 /** @throws SettingsError naming the file, the key, the value and what is wrong. */
-export async function checkStartupNeeds (settingsFile: string, { addresses, folders }: StartupNeeds): Promise<void> {
+export async function checkStartupRequirements (settingsFile: string, { addresses, folders }: StartupRequirements): Promise<void> {
   const problems: string[] = []
   for (const [key, address] of Object.entries(addresses)) {
-    const problem = await problemOf(async () => await listenOnce(address))
+    const problem = await problemOf(async () => await checkListening(address))
     if (problem !== undefined) problems.push(`${settingsFile}: ${key}: cannot listen there: ${problem} (value: "${address}")`)
   }
   for (const [key, folder] of Object.entries(folders)) {
@@ -37,7 +37,7 @@
   }
 }
 
-async function listenOnce (address: string): Promise<void> {
+async function checkListening (address: string): Promise<void> {
   const { host, port } = parseAddress(address)
   const server = createServer()
   await new Promise<void>((resolve, reject) => {
--- a/src/utils/statsdMetrics.ts
+++ b/src/utils/statsdMetrics.ts
@@ -1,7 +1,7 @@
 /**
- * Metrics by hot-shots (StatsD over UDP), with a copy of every counter in
- * memory. Nothing here blocks or fails when nobody listens. Apart from the
- * store in memory, so that programs without StatsD do not load its library.
+ * Metrics by hot-shots (StatsD over UDP), with a copy of every counter in memory.
+ * Nothing blocks or fails if no StatsD server listens. This module is separate from
+ * the in-memory store, so that programs without StatsD do not load the library.
  */
 import { StatsD } from 'hot-shots'
 import { memoryMetrics, type Metrics, type MetricTags } from './metrics.js'
@@ -11,7 +11,7 @@
   port: number
 }
 
-/** Counters in memory and, by UDP, at a StatsD listener. */
+/** Keeps counters in memory and sends all metrics to a StatsD server over UDP. */
 export function statsdMetrics (address: StatsdAddress, globalTags: MetricTags): Metrics {
   const memory = memoryMetrics()
   const client = new StatsD({
--- a/src/utils/supervisor.ts
+++ b/src/utils/supervisor.ts
@@ -1,8 +1,8 @@
 /**
- * The supervisor: starts tasks in scopes of their own and decides what their
- * end means. A task that returns, or whose scope closes, has ended well. A
- * task that throws has met a broken invariant: the process stops, because
- * what it holds can no longer be trusted.
+ * The supervisor starts each task in its own scope and decides what to do when a
+ * task ends. A task that returns, or whose scope closes, has ended normally. A task
+ * that throws has hit a violated invariant: the process stops, because its state
+ * can no longer be trusted.
  */
 import { ScopeClosedError } from './errors.js'
 import type { Scope } from './scope.js'
@@ -26,27 +26,27 @@
     const scope = this.scope.child(name)
     const running = this._run(scope, task)
     this._running.add(running)
-    scope.onClose(() => this._forgetWhenDone(running))
+    scope.onClose(() => this._removeWhenDone(running))
     return scope
   }
 
-  /** Reports a broken invariant that was met outside a task. */
+  /** Reports a violated invariant that was detected outside a task. */
   fatal (taskName: string, error: unknown): void {
     this._onFatal(taskName, error)
   }
 
-  /** A supervisor whose tasks end with one of this one's. */
+  /** Creates a supervisor whose tasks end when this one's scope closes. */
   child (name: string): Supervisor {
     return new Supervisor(this.scope.child(name), this._onFatal)
   }
 
-  /** Closes the scope and waits until every task has unwound. */
+  /** Closes the scope and waits until every task has ended. */
   async stop (reason: string): Promise<void> {
     this.scope.close(reason)
     await Promise.all(this._running)
   }
 
-  private _forgetWhenDone (running: Promise<void>): void {
+  private _removeWhenDone (running: Promise<void>): void {
     running.finally(() => this._running.delete(running)).catch(() => {})
   }
 
--- a/src/utils/suspension.ts
+++ b/src/utils/suspension.ts
@@ -1,39 +1,40 @@
 /**
- * What a suspended machine missed. The steady clock does not count the time of a
- * suspension, and Node.js offers none that does; the time of day goes on. When it
- * has run ahead of the steady clock, the machine may have stood still, or somebody
- * set the clock: for a lease either is reason enough to be renewed.
+ * Detects that the machine was suspended. The monotonic clock does not advance
+ * during a suspension, and Node.js offers no clock that does; the wall clock goes on.
+ * If the wall clock has gained on the monotonic clock, the machine was suspended or
+ * the wall clock was set: in either case a lease should be renewed.
  */
 
 /**
- * Less is no sign: clocks are slewed by 0.05 % at most, which is 30 ms in a minute
- * without a look, and the time of day is read in whole milliseconds.
+ * A smaller gain does not prove a suspension: clocks are slewed by at most 0.05 %,
+ * which is 30 ms in a minute between two reads, and the wall clock is read in whole
+ * milliseconds.
  */
-const LEAST_SUSPENSION_MS = 100
+const MIN_SUSPENSION_MS = 100
 
 export class SuspensionSense {
   private readonly _nowMs: () => number
   private readonly _wallMs: () => number
-  private _aheadMs: number
-  private _missedMs = 0
+  private _wallOffsetMs: number
+  private _suspendedMs = 0
 
   /**
-   * @param nowMs the steady clock
-   * @param wallMs the time of day
+   * @param nowMs the monotonic clock
+   * @param wallMs the wall clock
    */
   constructor (nowMs: () => number, wallMs: () => number) {
     this._nowMs = nowMs
     this._wallMs = wallMs
-    this._aheadMs = wallMs() - nowMs()
+    this._wallOffsetMs = wallMs() - nowMs()
   }
 
-  /** The steady clock, and the time by which the time of day has run ahead of it; never goes back. */
+  /** The monotonic clock plus all detected gains of the wall clock; never decreases. */
   leaseNowMs (): number {
     const nowMs = this._nowMs()
-    const aheadMs = this._wallMs() - nowMs
-    const gainedMs = aheadMs - this._aheadMs
-    if (gainedMs >= LEAST_SUSPENSION_MS) this._missedMs += gainedMs
-    this._aheadMs = aheadMs
-    return nowMs + this._missedMs
+    const wallOffsetMs = this._wallMs() - nowMs
+    const jumpMs = wallOffsetMs - this._wallOffsetMs
+    if (jumpMs >= MIN_SUSPENSION_MS) this._suspendedMs += jumpMs
+    this._wallOffsetMs = wallOffsetMs
+    return nowMs + this._suspendedMs
   }
 }
