--- a/tests/cli/commandLine.test.ts
+++ b/tests/cli/commandLine.test.ts
@@ -66,7 +66,7 @@
 
 const POOL_FILE = '[[resources]]\nkind = "EndpointPool"\nname = "decks"\n[resources.spec]\nendpointKind = "service"\n'
 
-test('should send a change whose answer was lost again under the same id', async t => {
+test('should send a change again under the same id when its answer is lost', async t => {
   const control = await startFakeControl((_path, callNumber) => callNumber === 1 ? 'lost' : applied())
   const { exitCode } = await run(['apply', writeFile('pool.toml', POOL_FILE)], control)
   t.is(exitCode, ExitCode.Done)
@@ -75,14 +75,14 @@
   t.is(control.calls[0]?.body.changeId, control.calls[1]?.body.changeId)
 })
 
-test('should end with the conflict code when another change came first', async t => {
+test('should exit with the conflict code when another change was made first', async t => {
   const control = await startFakeControl(() => ({ status: 409, value: { kind: 'conflict', currentRevision: 9 } }))
   const { exitCode, err } = await run(['apply', writeFile('pool.toml', POOL_FILE)], control)
   t.is(exitCode, ExitCode.Conflict)
   t.regex(err, /EndpointPool decks: conflict: its revision is 9/)
 })
 
-test('should name the hosts where a change is not in force when time is up', async t => {
+test('should name the hosts where a change is not in force at the deadline', async t => {
   const host = { hostId: 'entry-1', dataCentre: 'hal-a', callerAddress: '127.0.0.1:1', revisionInForce: 7, holdsLease: true }
   const entryHosts = [host, { ...host, hostId: 'entry-2', revisionInForce: 6 }]
   const status = { leaderHostId: 'control-1', term: 1, revision: 7, members: [], entryHosts }
@@ -99,7 +99,7 @@
   t.notRegex(err, /entry-1/)
 })
 
-test('should name file, key, value and expectation of a wrong resource and send nothing', async t => {
+test('should name file, key, value and expected form of an invalid resource and send nothing', async t => {
   const control = await startFakeControl(applied)
   const { exitCode, err } = await run(['apply', writeFile('pool.toml', POOL_FILE.replace('"service"', '"servce"'))], control)
   t.is(exitCode, ExitCode.Usage)
@@ -107,7 +107,7 @@
   t.is(control.calls.length, 0)
 })
 
-test('should take the prompts of a job from the file beside it', async t => {
+test('should read the prompts of a job from the file next to it', async t => {
   const control = await startFakeControl(applied)
   const file = writeFile('job.json', JSON.stringify({
     resources: [{
@@ -129,7 +129,7 @@
   t.regex(err, /list again .* from revision 40/)
 })
 
-test('should tell usage errors, unreachable hosts and missing resources apart', async t => {
+test('should distinguish usage errors, unreachable hosts and missing resources', async t => {
   t.is((await run(['apply'])).exitCode, ExitCode.Usage)
   t.is((await run(['status'])).exitCode, ExitCode.Usage)
   t.is((await run(['get', 'Pool', '--control', '127.0.0.1:1'])).exitCode, ExitCode.Usage)
@@ -146,7 +146,7 @@
   t.regex(err, /b\.toml: host\.hostId: .*string.* \(value: 1\)/)
 })
 
-test('should list requests that end endpoints, lift one, and name what is missing', async t => {
+test('should list quarantined requests, lift one, and name a missing argument', async t => {
   const digest = 'd'.repeat(32)
   const notice = { number: 3, digest, verdict: 'condemned', endpointIds: ['e1', 'e2', 'e3'], endedAtMs: 1_700_000_000_000 }
   const start = async (): Promise<FakeControl> => await startFakeControl(path => (
--- a/tests/cli/logExplanation.test.ts
+++ b/tests/cli/logExplanation.test.ts
@@ -39,7 +39,7 @@
   return { exitCode, out, err }
 }
 
-test('should tell what became of an item, in order, with the leaders and engines that changed meanwhile', t => {
+test('should show the events of an item in order, with concurrent changes of leaders and engines', t => {
   const { exitCode, out } = explain('i1', [collected.toReversed()])
   t.is(exitCode, ExitCode.Done)
   t.deepEqual(out.map(text => text.trim().split(/\s+/).slice(0, 5).join(' ')), [
@@ -54,12 +54,12 @@
   t.true(out.some(text => /^ +1\.400 \+ store-2 store 2602 .*endpointId=e7 reason=endpoint_error$/.test(text)))
 })
 
-test('should pass over lines that were cut off, and lines of something else', t => {
+test('should skip truncated lines and lines of other programs', t => {
   const { exitCode } = explain('i1', [[...storeLog, storeLog[1]?.slice(0, 60) ?? '', 'something else', '']])
   t.is(exitCode, ExitCode.Done)
 })
 
-test('should say that no line names an id', t => {
+test('should report that no line contains an id', t => {
   const { exitCode, err } = explain('unheard-of', [storeLog])
   t.is(exitCode, ExitCode.NotFound)
   t.regex(err.join(), /none of 10 lines in 1 files names "unheard-of"/)
@@ -72,7 +72,7 @@
   t.is(shown[0]?.relation, 'own')
 })
 
-test('should lead from a try that was held back to the ends of endpoints, by its digest', t => {
+test('should link a withheld attempt to the crashes of endpoints by its digest', t => {
   const digest = 'd'.repeat(32)
   const first = [line(0, 'entry-1', 2650, { endpointId: 'e1', suspects: [digest, '7'.repeat(32)] }), line(5, 'entry-1', 2651, { digest, endpointIds: ['e1'] })]
   const second = [line(400, 'entry-2', 2650, { endpointId: 'e2', suspects: ['8'.repeat(32)] }), line(900, 'entry-2', 2654, { digest, attemptId: 'a9', route: 'open' })]
--- a/tests/scope.test.ts
+++ b/tests/scope.test.ts
@@ -2,7 +2,7 @@
 import { ScopeClosedError } from '../src/utils/errors.js'
 import { Scope } from '../src/utils/scope.js'
 
-test('should end every await of a scope and of its children when it closes', async t => {
+test('should reject every pending wait of a scope and of its children when it closes', async t => {
   const scope = new Scope('parent')
   const child = scope.child('child')
   const never = new Promise<void>(() => {})
--- a/tests/settings.test.ts
+++ b/tests/settings.test.ts
@@ -5,7 +5,7 @@
 
 const schema = z.strictObject({ host: z.strictObject({ address: addressSchema }) })
 
-test('should name file, key, value and expectation of a malformed setting', t => {
+test('should name file, key, value and expected form of a malformed setting', t => {
   const error = t.throws(() => checkSettings('entry.toml', '[host]\naddress = "localhost"', schema), { instanceOf: SettingsError })
   t.regex(error.message, /entry\.toml: host\.address: expected an address such as .* \(value: "localhost"\)/)
 })
--- a/tests/utils/memoryWatch.test.ts
+++ b/tests/utils/memoryWatch.test.ts
@@ -9,19 +9,19 @@
 const LIMIT_MB = 100
 const LIMIT_BYTES = megabytesToBytes(LIMIT_MB)
 
-interface Watched {
+interface WatchSetup {
   clock: VirtualClock
   events: Array<{ number: number, fields: LogFields }>
   gauges: () => Record<string, number>
   readsCount: () => number
-  /** Lets the next reads find so much. */
+  /** Sets the resident memory that further reads return, in percent of the limit, and advances the clock to the next read. */
   use: (percent: number) => Promise<void>
 }
 
-function watch (limitBytes: number | undefined): Watched {
+function watch (limitBytes: number | undefined): WatchSetup {
   const clock = new VirtualClock()
   const metrics = memoryMetrics()
-  const events: Watched['events'] = []
+  const events: WatchSetup['events'] = []
   const logger: Logger = { event: (number, fields = {}) => { events.push({ number, fields }) }, child: () => logger }
   let now: MemoryUse = { residentBytes: 0, heapBytes: 3, externalBytes: 4 }
   let readsCount = 0
@@ -43,7 +43,7 @@
   }
 }
 
-function levels (events: Watched['events'], number: MemoryEvent) {
+function levels (events: WatchSetup['events'], number: MemoryEvent) {
   return events.filter(event => event.number === number).map(({ fields }) => fields.levelPercent)
 }
 
@@ -53,7 +53,7 @@
   t.is(readsCount(), 11)
 })
 
-test('should tell once of each level that is passed, with what it went by', async t => {
+test('should log once for each level that is reached, with the measured values', async t => {
   const { use, events } = watch(LIMIT_BYTES)
   await use(69)
   t.deepEqual(events, [])
@@ -67,7 +67,7 @@
   t.deepEqual(levels(events, MemoryEvent.LevelPassed), MEMORY_LEVELS_PERCENT)
 })
 
-test('should tell that a level is left only well below it, and of the level again after that', async t => {
+test('should log that a level is cleared only well below it, and log the level again after that', async t => {
   const { use, events } = watch(LIMIT_BYTES)
   for (const percent of [86, 84, 86, 81]) await use(percent)
   t.deepEqual(levels(events, MemoryEvent.LevelPassed), [70, 85])
@@ -77,7 +77,7 @@
   t.deepEqual(levels(events, MemoryEvent.LevelLeft), [85])
 })
 
-test('should show what is used, and the limit beside it', async t => {
+test('should show the used memory and the limit as gauges', async t => {
   const { use, gauges } = watch(LIMIT_BYTES)
   await use(50)
   t.deepEqual(gauges(), {
@@ -85,7 +85,7 @@
   })
 })
 
-test('should only show what is used when the host tells no limit', async t => {
+test('should only show the used memory when the host sets no limit', async t => {
   const { use, gauges, events } = watch(undefined)
   await use(500)
   t.deepEqual(Object.keys(gauges()), ['memory.resident_bytes', 'memory.heap_bytes', 'memory.external_bytes'])
--- a/tests/utils/prometheusMetrics.test.ts
+++ b/tests/utils/prometheusMetrics.test.ts
@@ -3,7 +3,7 @@
 import { metricCatalogue, MetricName } from '../../src/utils/metricNames.js'
 import { prometheusMetrics, prometheusName } from '../../src/utils/prometheusMetrics.js'
 
-test('should have a counter for every reason of a refusal and of a retry', async t => {
+test('should count refusals and retries by every reason', async t => {
   const metrics = prometheusMetrics()
   for (const reason of Object.values(RefusalReason)) metrics.count(MetricName.RequestRefused, { reason })
   for (const reason of Object.values(RetryReason)) metrics.count(MetricName.RequestRetried, { reason, pool: 'decks' })
@@ -12,12 +12,12 @@
   for (const reason of Object.values(RetryReason)) t.true(text.includes(`threaddrum_request_retried_total{reason="${reason}",pool="decks"} 1`), reason)
 })
 
-test('should tell of every metric in the catalogue, with its meaning', async t => {
+test('should expose every metric of the catalogue with its description', async t => {
   const text = await prometheusMetrics().text()
   for (const name of Object.values(MetricName)) t.true(text.includes(`# HELP ${prometheusName(name)} ${metricCatalogue[name].text}`), name)
 })
 
-test('should count durations into buckets, by their tags', async t => {
+test('should count durations in buckets, by their tags', async t => {
   const metrics = prometheusMetrics()
   metrics.timing(MetricName.RequestDurationMs, 120, { route: 'idempotent' })
   metrics.timing(MetricName.RequestDurationMs, 700, { route: 'idempotent' })
@@ -32,7 +32,7 @@
   t.false(shown.some(line => line.startsWith(prometheusName(MetricName.RoutingVersion))))
 })
 
-test('should show the value that a gauge had last', async t => {
+test('should show the last value of a gauge', async t => {
   const metrics = prometheusMetrics()
   metrics.gauge(MetricName.RoutingVersion, 7)
   metrics.gauge(MetricName.RoutingVersion, 9)
--- a/tests/virtualClock.test.ts
+++ b/tests/virtualClock.test.ts
@@ -19,7 +19,7 @@
   t.deepEqual(woken, [10, 20, 30])
 })
 
-test('should end a wait at the deadline that was handed down', async t => {
+test('should end a wait at the deadline of its progress', async t => {
   const clock = new VirtualClock()
   const progress = new Progress(clock, new Scope('test'), 50)
   const raced = await clock.advanceUntil(progress.race(new Promise<void>(() => {})))
