--- a/src/cli/logExplanation.ts
+++ b/src/cli/logExplanation.ts
@@ -31,7 +31,7 @@
   /** The line contains an id found in one of those lines, such as that of a reward call or a digest. */
   Linked = 'led_to',
   /** The line reports a concurrent change of an endpoint or a leader. */
-  Meanwhile = 'meanwhile'
+  Concurrent = 'meanwhile'
 }
 
 interface ShownLine extends LogLine {
@@ -92,8 +92,8 @@
     if (linkedIds.some(other => mentions(line, other))) return Relation.Linked
     // Concurrent changes matter only on hosts that logged the id.
     if (!hosts.has(line.host) || line.wallMs < first - LOOKBACK_MS || line.wallMs > last) return undefined
-    if (LEADER_EVENTS.has(line.eventNumber)) return Relation.Meanwhile
-    return ENDPOINT_EVENTS.has(line.eventNumber) && endpointIds.has(line.fields.endpointId) ? Relation.Meanwhile : undefined
+    if (LEADER_EVENTS.has(line.eventNumber)) return Relation.Concurrent
+    return ENDPOINT_EVENTS.has(line.eventNumber) && endpointIds.has(line.fields.endpointId) ? Relation.Concurrent : undefined
   }
   const shown = lines.flatMap(line => {
     const relation = relationOf(line)
@@ -106,7 +106,7 @@
   return Object.values(fields).some(value => value === id || (Array.isArray(value) && value.includes(id)))
 }
 
-const marks: Record<Relation, string> = { [Relation.Own]: '*', [Relation.Linked]: '+', [Relation.Meanwhile]: ' ' }
+const marks: Record<Relation, string> = { [Relation.Own]: '*', [Relation.Linked]: '+', [Relation.Concurrent]: ' ' }
 
 /** Seconds since the first line, mark, host, program, event and fields. */
 function describe ({ wallMs, host, program, eventNumber, text, fields, relation }: ShownLine, firstMs: number): string {
--- a/src/utils/programMain.ts
+++ b/src/utils/programMain.ts
@@ -51,7 +51,7 @@
 }
 
 export async function runProgram<Settings extends HostSettings> (description: ProgramDescription<Settings>): Promise<void> {
-  const settingsFile = readOptions(description.name)
+  const settingsFile = readSettingsPath(description.name)
   if (settingsFile === undefined) return
   try {
     const settings = readSettings(settingsFile, description.settingsSchema)
@@ -65,7 +65,7 @@
 }
 
 /** Path of the settings file; undefined when there is nothing to run. */
-function readOptions (name: string): string | undefined {
+function readSettingsPath (name: string): string | undefined {
   const cli = cac(name)
   cli.option('--settings <file>', 'Settings of this host, in TOML')
   cli.help()
--- a/src/utils/startupChecks.ts
+++ b/src/utils/startupChecks.ts
@@ -18,7 +18,7 @@
 export async function checkStartupRequirements (settingsFile: string, { addresses, folders }: StartupRequirements): Promise<void> {
   const problems: string[] = []
   for (const [key, address] of Object.entries(addresses)) {
-    const problem = await problemOf(async () => await checkListening(address))
+    const problem = await problemOf(async () => await checkCanListen(address))
     if (problem !== undefined) problems.push(`${settingsFile}: ${key}: cannot listen there: ${problem} (value: "${address}")`)
   }
   for (const [key, folder] of Object.entries(folders)) {
@@ -37,7 +37,7 @@
   }
 }
 
-async function checkListening (address: string): Promise<void> {
+async function checkCanListen (address: string): Promise<void> {
   const { host, port } = parseAddress(address)
   const server = createServer()
   await new Promise<void>((resolve, reject) => {
--- a/tests/utils/memoryWatch.test.ts
+++ b/tests/utils/memoryWatch.test.ts
@@ -15,19 +15,19 @@
   gauges: () => Record<string, number>
   readsCount: () => number
   /** Sets the resident memory that further reads return, in percent of the limit, and advances the clock to the next read. */
-  use: (percent: number) => Promise<void>
+  setUsedPercent: (percent: number) => Promise<void>
 }
 
-function watch (limitBytes: number | undefined): WatchSetup {
+function startWatch (limitBytes: number | undefined): WatchSetup {
   const clock = new VirtualClock()
   const metrics = memoryMetrics()
   const events: WatchSetup['events'] = []
   const logger: Logger = { event: (number, fields = {}) => { events.push({ number, fields }) }, child: () => logger }
-  let now: MemoryUse = { residentBytes: 0, heapBytes: 3, externalBytes: 4 }
+  let memoryUse: MemoryUse = { residentBytes: 0, heapBytes: 3, externalBytes: 4 }
   let readsCount = 0
   const read = (): MemoryUse => {
     readsCount++
-    return now
+    return memoryUse
   }
   const scope = new Scope('test')
   new MemoryWatch({ clock, logger, metrics, read, limitBytes }).run(scope).catch(() => {})
@@ -36,8 +36,8 @@
     events,
     gauges: () => metrics.snapshot(),
     readsCount: () => readsCount,
-    use: async percent => {
-      now = { ...now, residentBytes: percent / 100 * LIMIT_BYTES }
+    setUsedPercent: async percent => {
+      memoryUse = { ...memoryUse, residentBytes: percent / 100 * LIMIT_BYTES }
       await clock.advance(1_000)
     }
   }
@@ -48,46 +48,46 @@
 }
 
 test('should read the memory once a second', async t => {
-  const { clock, readsCount } = watch(LIMIT_BYTES)
+  const { clock, readsCount } = startWatch(LIMIT_BYTES)
   await clock.advance(10_000)
   t.is(readsCount(), 11)
 })
 
 test('should log once for each level that is reached, with the measured values', async t => {
-  const { use, events } = watch(LIMIT_BYTES)
-  await use(69)
+  const { setUsedPercent, events } = startWatch(LIMIT_BYTES)
+  await setUsedPercent(69)
   t.deepEqual(events, [])
-  await use(70)
-  await use(80)
+  await setUsedPercent(70)
+  await setUsedPercent(80)
   t.deepEqual(events, [{
     number: MemoryEvent.LevelPassed,
     fields: { levelPercent: 70, limitBytes: LIMIT_BYTES, residentBytes: 0.7 * LIMIT_BYTES, heapBytes: 3, externalBytes: 4 }
   }])
-  await use(96)
+  await setUsedPercent(96)
   t.deepEqual(levels(events, MemoryEvent.LevelPassed), MEMORY_LEVELS_PERCENT)
 })
 
 test('should log that a level is cleared only well below it, and log the level again after that', async t => {
-  const { use, events } = watch(LIMIT_BYTES)
-  for (const percent of [86, 84, 86, 81]) await use(percent)
+  const { setUsedPercent, events } = startWatch(LIMIT_BYTES)
+  for (const percent of [86, 84, 86, 81]) await setUsedPercent(percent)
   t.deepEqual(levels(events, MemoryEvent.LevelPassed), [70, 85])
   t.deepEqual(levels(events, MemoryEvent.LevelLeft), [])
-  for (const percent of [79, 86]) await use(percent)
+  for (const percent of [79, 86]) await setUsedPercent(percent)
   t.deepEqual(levels(events, MemoryEvent.LevelPassed), [70, 85, 85])
   t.deepEqual(levels(events, MemoryEvent.LevelLeft), [85])
 })
 
 test('should show the used memory and the limit as gauges', async t => {
-  const { use, gauges } = watch(LIMIT_BYTES)
-  await use(50)
+  const { setUsedPercent, gauges } = startWatch(LIMIT_BYTES)
+  await setUsedPercent(50)
   t.deepEqual(gauges(), {
     'memory.resident_bytes': LIMIT_BYTES / 2, 'memory.heap_bytes': 3, 'memory.external_bytes': 4, 'memory.limit_bytes': LIMIT_BYTES
   })
 })
 
 test('should only show the used memory when the host sets no limit', async t => {
-  const { use, gauges, events } = watch(undefined)
-  await use(500)
+  const { setUsedPercent, gauges, events } = startWatch(undefined)
+  await setUsedPercent(500)
   t.deepEqual(Object.keys(gauges()), ['memory.resident_bytes', 'memory.heap_bytes', 'memory.external_bytes'])
   t.deepEqual(events, [])
 })
--- a/tests/utils/suspension.test.ts
+++ b/tests/utils/suspension.test.ts
@@ -2,12 +2,12 @@
 import { SuspensionSense } from '../../src/utils/suspension.js'
 
 class Clocks {
-  steadyMs = 1_000
+  monotonicMs = 1_000
   wallMs = 1_700_000_000_000
-  readonly detector = new SuspensionSense(() => this.steadyMs, () => this.wallMs)
+  readonly detector = new SuspensionSense(() => this.monotonicMs, () => this.wallMs)
 
-  pass (steadyMs: number, wallMs = steadyMs): number {
-    this.steadyMs += steadyMs
+  advance (monotonicMs: number, wallMs = monotonicMs): number {
+    this.monotonicMs += monotonicMs
     this.wallMs += wallMs
     return this.detector.leaseNowMs()
   }
@@ -15,19 +15,19 @@
 
 test('should advance by the time that the monotonic clock has missed', t => {
   const clocks = new Clocks()
-  t.is(clocks.pass(500), 1_500)
-  t.is(clocks.pass(10, 10_010), 11_510)
-  t.is(clocks.pass(90), 11_600)
+  t.is(clocks.advance(500), 1_500)
+  t.is(clocks.advance(10, 10_010), 11_510)
+  t.is(clocks.advance(90), 11_600)
 })
 
 test('should neither go back nor stop when the wall clock is set back', t => {
   const clocks = new Clocks()
-  t.is(clocks.pass(100, -5_000), 1_100)
-  t.is(clocks.pass(100), 1_200)
-  t.is(clocks.pass(0, 5_000), 6_200, 'set forward again, the wall clock looks like after a suspension')
+  t.is(clocks.advance(100, -5_000), 1_100)
+  t.is(clocks.advance(100), 1_200)
+  t.is(clocks.advance(0, 5_000), 6_200, 'set forward again, the wall clock looks like after a suspension')
 })
 
 test('should not mistake a slewed clock for a suspension', t => {
   const clocks = new Clocks()
-  for (let minute = 1; minute <= 60; minute++) t.is(clocks.pass(60_000, 60_030), 1_000 + minute * 60_000)
+  for (let minute = 1; minute <= 60; minute++) t.is(clocks.advance(60_000, 60_030), 1_000 + minute * 60_000)
 })
