--- a/src/utils/metricNames.ts
+++ b/src/utils/metricNames.ts
@@ -1,4 +1,4 @@
-/** The names of all metrics. docs/METRICS.md is made from this table. */
+/** The names of all metrics. docs/METRICS.md is generated from the catalogue below. */
 export enum MetricName {
   RequestReceived = 'request.received',
   RequestAnswered = 'request.answered',
