--- a/src/entry/advice/adviceRoute.ts
+++ b/src/entry/advice/adviceRoute.ts
@@ -1,7 +1,8 @@
 /**
- * Advice to callers: which entry hosts to use, and for how long the answer may
- * be kept. Hosts of the caller's data centre come first; within a data centre
- * the less busy ones come first more often, so that callers spread.
+ * Advice to callers: which entry hosts to use, and how long the advice may be
+ * cached. Hosts of the caller's data centre come first. Within a data centre
+ * the order is random and weighted towards hosts with fewer requests in flight,
+ * so that callers are spread.
  */
 import { callerPaths, type Advice } from '../../protocol/callers.js'
 import type { RandomSource } from '../../utils/randomSource.js'
@@ -53,7 +54,7 @@
     this._options.answers.json(exchange, 200, advice, headers)
   }
 
-  /** Draws hosts without putting them back, each with a chance that falls with its load. */
+  /** Weighted random sampling without replacement: the probability of a host falls with its load. */
   private _spread (hosts: HostState[], count: number): HostState[] {
     const keyed = hosts.map(host => ({ host, key: this._options.random.real() ** (1 + host.inFlightCount) }))
     keyed.sort((a, b) => b.key - a.key)
--- a/src/entry/directory/announcements.ts
+++ b/src/entry/directory/announcements.ts
@@ -1,6 +1,7 @@
 /**
- * The announcements of endpoints, taken by any entry host: each renews the
- * endpoint's lease and becomes a record that the other hosts hear of.
+ * Accepts announcements of endpoints, which may be sent to any entry host. An
+ * announcement renews the lease of the endpoint and is published to the other
+ * hosts as a gossip record.
  */
 import { isDeepStrictEqual } from 'node:util'
 import { z } from 'zod'
@@ -53,7 +54,7 @@
     return { leaseRemainingMs: this._options.endpointLeaseMs, announceTo: this._announceTo(announcement) }
   }
 
-  /** Takes an endpoint out of service until it starts again; false if it is not known. */
+  /** Takes an endpoint out of service until its next incarnation; returns false if the endpoint is unknown. */
   drain (endpointId: string): boolean {
     const record = this._endpoint(endpointId)
     if (!record) return false
@@ -98,7 +99,10 @@
     }
   }
 
-  /** The hosts of the endpoint's data centre come first; each endpoint has its own order. */
+  /**
+   * Chooses the hosts for the next announcements, those of the endpoint's data
+   * centre first. Ranking by endpoint id spreads the endpoints over the hosts.
+   */
   private _announceTo ({ endpointId, dataCentre }: Announcement): string[] {
     const serving = this._options.hosts.serving()
     const near = serving.filter(host => host.dataCentre === dataCentre)
--- a/src/entry/directory/endpointRecord.ts
+++ b/src/entry/directory/endpointRecord.ts
@@ -1,14 +1,14 @@
 /**
- * What an entry host knows of an endpoint.
+ * Endpoints as known to an entry host, and the interface for looking them up.
  */
 import type { Stream } from 'most'
 import type { Announcement } from '../../protocol/endpoints.js'
 
 export interface EndpointRecord {
   readonly announcement: Announcement
-  /** When its load report was true, in this host's monotonic clock. */
+  /** When the load report was taken, on the monotonic clock of this host. */
   readonly loadAtMs: number
-  /** The record is dropped at this instant unless a newer announcement comes. */
+  /** When the record expires unless a newer announcement arrives. */
   readonly leaseEndsAtMs: number
 }
 
@@ -17,7 +17,7 @@
   | { kind: 'removed', endpointId: string, pool: string }
 
 export interface EndpointDirectory {
-  /** Endpoints of a pool that hold a lease and are not leaving. */
+  /** Returns the endpoints of a pool that hold a lease and are not leaving. */
   available (pool: string): EndpointRecord[]
   get (endpointId: string): EndpointRecord | undefined
   readonly changes: Stream<DirectoryChange>
--- a/src/entry/directory/fleet.ts
+++ b/src/entry/directory/fleet.ts
@@ -1,7 +1,7 @@
 /**
- * What an entry host knows of endpoints and of the other hosts, wired
- * together: connections to peers, records spread between them, and the views
- * that the rest of the host reads.
+ * Creates and connects the parts that hold an entry host's knowledge of
+ * endpoints and other hosts: connections to peers, gossip of records between
+ * them, and the views that the rest of the host reads.
  */
 import type { EntryHost } from '../../protocol/hostCommands.js'
 import type { Transport } from '../../transport/connection.js'
@@ -30,7 +30,7 @@
   metrics: Metrics
   logger: Logger
   supervisor: Supervisor
-  /** All registered entry hosts. */
+  /** Returns all registered entry hosts. */
   entryHosts: () => EntryHost[]
   inFlightCount: () => number
   takesWork: () => boolean
@@ -95,10 +95,10 @@
     supervisor.spawn('host state', scope => this.hosts.publishRepeatedly(scope))
   }
 
-  /** Resolves when this host knows the endpoints, as far as anyone can tell it. */
+  /** Resolves when this host has fetched the records of its peers, or the wait limit has passed. */
   async syncFromPeers (scope: Scope): Promise<void> {
     const { clock, settings } = this._options
-    // With no host to ask, every endpoint has announced itself again by then.
+    // If no peer answers, every endpoint has announced itself again within a third of its lease.
     const waitMs = settings.limits.endpointLeaseMs / 3
     await this.gossip.syncFromPeers(scope, clock.nowMs() + waitMs, () => this.directory.all().length > 0)
   }
--- a/src/entry/directory/gossip.ts
+++ b/src/entry/directory/gossip.ts
@@ -1,8 +1,9 @@
 /**
- * How records travel between entry hosts: changes are pushed to every host of
- * the data centre and to one relay in each other one, which passes them on to
- * its own; digests find what was lost on the way. Content goes at once, load
- * in batches, and load that hardly changed only as often as the lease needs.
+ * Replicates records between entry hosts. Changes are pushed to every host of
+ * the own data centre and to one relay in each other data centre, which
+ * forwards them to the hosts there. Periodic digests find records that were
+ * lost. Content is sent at once and load in batches; load without a significant
+ * change is sent only as often as the lease requires.
  */
 import { z } from 'zod'
 import { rpcMethod } from '../../transport/rpcPeer.js'
@@ -24,14 +25,14 @@
 const DIGEST_INTERVAL_MS = 3_000
 const EXPIRE_INTERVAL_MS = 250
 const CALL_TIMEOUT_MS = 2_000
-/** One digest in this many goes to another data centre. */
+/** One digest in this many is compared with a host of another data centre. */
 const CROSS_DATA_CENTRE_DIGEST_PERIOD = 4
 
 const deltaSchema = z.object({
   fromHostId: z.string(),
   full: z.array(fullRecordSchema),
   loads: z.array(loadRecordSchema),
-  /** Whether the receiver passes it on within its data centre. */
+  /** Whether the receiver forwards the records within its data centre. */
   relay: z.boolean()
 })
 type Delta = z.infer<typeof deltaSchema>
@@ -56,7 +57,7 @@
   random: RandomSource
   logger: Logger
   supervisor: Supervisor
-  /** Load that hardly changed is sent again after a third of this. */
+  /** Load without a significant change is sent again after a third of this. */
   leaseMs: number
 }
 
@@ -83,7 +84,7 @@
     this._options.supervisor.spawn('directory digests', scope => this._repairPeriodically(scope))
   }
 
-  /** Takes a record that began at this host and tells the others. */
+  /** Stores a record that originates at this host and queues it for the other hosts. */
   publish (record: FullRecord): void {
     const outcome = this._options.store.put(record)
     if (outcome === 'stale') return
@@ -91,14 +92,15 @@
     this._relayQueue.add(record, outcome)
   }
 
-  /** Takes a record that another host handed over directly, and tells the data centre. */
+  /** Stores a record that another host sent directly, and queues it for the hosts of this data centre. */
   forward (record: FullRecord): void {
     this._merge([record], true)
   }
 
   /**
-   * Learns what the others know, before this host serves. Gives up waiting at
-   * the deadline, or when there is no other host and something is known.
+   * Fetches the records of other hosts before this host serves. Ends once a
+   * ready host has answered, at the deadline, or when no other host is
+   * registered and `hasRecords` returns true.
    */
   async syncFromPeers (scope: Scope, deadlineMs: number, hasRecords: () => boolean): Promise<void> {
     const { clock, topology } = this._options
--- a/src/entry/directory/gossipRecord.ts
+++ b/src/entry/directory/gossipRecord.ts
@@ -1,7 +1,8 @@
 /**
- * What entry hosts tell each other: versioned records of endpoints and of the
- * hosts themselves. A full record carries the content; a load record only the
- * numbers that change all the time, for those who hold the content already.
+ * The records that entry hosts exchange: versioned records of endpoints and of
+ * the hosts themselves. A full record carries the content. A load record
+ * carries only the frequently changing numbers, for hosts that already have
+ * the content.
  */
 import { z } from 'zod'
 import { announcementSchema } from '../../protocol/endpoints.js'
@@ -14,18 +15,18 @@
 export const hostContentSchema = z.object({
   dataCentre: z.string(),
   callerAddress: z.string(),
-  /** The host takes no new work and is about to stop. */
+  /** Whether the host is stopping and must no longer be advised to callers. */
   stopping: z.boolean(),
-  /** It is ready and holds its configuration lease. */
+  /** Whether the host is ready and holds its configuration lease. */
   takesWork: z.boolean()
 })
 export type HostContent = z.infer<typeof hostContentSchema>
 
 const versionShape = {
   id: z.string(),
-  /** Grows with every start of the endpoint or host. */
+  /** Increases with every start of the endpoint or host. */
   incarnation: z.number(),
-  /** Grows with every announcement of one incarnation. */
+  /** Increases with every announcement of one incarnation. */
   sequence: z.number(),
   /** The sequence at which the content last changed. */
   contentSequence: z.number(),
@@ -35,9 +36,8 @@
 }
 
 /**
- * An endpoint's record also says whether an operator took it out of service;
- * once said, that holds for the rest of the incarnation, whatever version says
- * otherwise.
+ * `drained` tells that an operator took the endpoint out of service. Once set,
+ * it holds for the rest of the incarnation, even if a newer version lacks it.
  */
 export const fullRecordSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal(RecordKind.Endpoint), ...versionShape, content: announcementSchema, drained: z.boolean() }),
--- a/src/entry/directory/hostStates.ts
+++ b/src/entry/directory/hostStates.ts
@@ -1,6 +1,7 @@
 /**
- * What entry hosts say of themselves, for advice: whether they take new work
- * and how busy they are. Each host publishes its own record again and again.
+ * The states of the entry hosts, from which advice to callers is made: whether
+ * a host accepts new work and how many requests it has in flight. Each host
+ * publishes its own record periodically.
  */
 import { z } from 'zod'
 import { rpcMethod } from '../../transport/rpcPeer.js'
@@ -33,7 +34,7 @@
   mesh: PeerMesh
   hostLeaseMs: number
   inFlightCount: () => number
-  /** Whether this host takes new work, as callers are to be told. */
+  /** Whether this host accepts new work, as published to the other hosts. */
   takesWork: () => boolean
 }
 
@@ -56,7 +57,7 @@
     return this._stopping
   }
 
-  /** Hosts that take new work, as far as this one knows. */
+  /** Returns the hosts that accept new work, as far as this host knows. */
   serving (): HostState[] {
     return this._all().filter(state => !state.stopping && state.takesWork)
   }
@@ -80,8 +81,9 @@
   }
 
   /**
-   * Takes this host out of the advice of all others.
-   * @returns the instant by which the last advice that named this host was given
+   * Removes this host from the advice of all other hosts. A host that does not
+   * confirm may name this one until the lease of this host expires.
+   * @returns the time of this host's clock after which no host names it in advice
    */
   async withdrawFromAdvice (hostIds: string[], scope: Scope): Promise<number> {
     const { clock, mesh, hostLeaseMs } = this._options
--- a/src/entry/directory/liveDirectory.ts
+++ b/src/entry/directory/liveDirectory.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints that this host knows, by pool: a view of the record store that
- * is kept up to date as records change.
+ * The endpoints known to this host, by pool: a view of the record store that
+ * follows its changes.
  */
 import type { Announcement, LoadReport } from '../../protocol/endpoints.js'
 import { eventStream } from '../../utils/eventStream.js'
@@ -35,7 +35,7 @@
     return this._byId.get(endpointId)
   }
 
-  /** Every endpoint that holds a lease, also those that are leaving. */
+  /** Returns every endpoint that holds a lease, including those that are leaving. */
   all (): EndpointRecord[] {
     return [...this._byId.values()]
   }
@@ -92,7 +92,7 @@
   }
 }
 
-/** The numbers of a load report, in the order in which records carry them. */
+/** Returns the numbers of a load report in the order that records use. */
 export function loadNumbers ({ runningCount, waitingCount, kvUsedPercent, tokensPerSecond }: LoadReport): number[] {
   return [runningCount, waitingCount, Math.round(kvUsedPercent), Math.round(tokensPerSecond)]
 }
--- a/src/entry/directory/pushQueue.ts
+++ b/src/entry/directory/pushQueue.ts
@@ -1,8 +1,8 @@
 /**
- * What is to be pushed to other hosts next. Of each record only the newest
- * state waits. Changed content is sent at once, load after a while, so that it
- * travels in batches; load that hardly changed is not sent before the lease
- * needs it.
+ * The queue of records to push to other hosts. It holds only the newest state
+ * of each record. Changed content is sent at once; load is delayed so that it
+ * is sent in batches. Load without a significant change is skipped until the
+ * lease has to be renewed.
  */
 import type { Clock } from '../../utils/clock.js'
 import type { FullRecord, LoadRecord } from './gossipRecord.js'
@@ -34,7 +34,7 @@
     this._options = options
   }
 
-  /** A record that began at this host. */
+  /** Adds a record that originates at this host. */
   add (record: FullRecord, outcome: 'content' | 'load'): void {
     if (outcome === 'content') return this._addFull(record)
     const key = keyOf(record.kind, record.id)
@@ -43,7 +43,7 @@
     else if (this._shouldSendLoad(key, record.load)) this._addLoad(key, toLoadRecord(record))
   }
 
-  /** A record that came from another host and is passed on. */
+  /** Adds a record that another host sent. */
   forward (record: FullRecord): void {
     this._addFull(record)
   }
--- a/src/entry/directory/recordStore.ts
+++ b/src/entry/directory/recordStore.ts
@@ -1,7 +1,7 @@
 /**
- * Versioned records under leases. The newer version always wins, whichever way
- * and in whatever order it comes; what has expired stays known by its version
- * for a while, so that a late copy does not bring it back.
+ * Versioned records with leases. The newer version wins, whatever the order of
+ * arrival. An expired record leaves a tombstone with its version for a while,
+ * so that a delayed copy does not restore it.
  */
 import type { Clock } from '../../utils/clock.js'
 import { eventStream } from '../../utils/eventStream.js'
@@ -29,7 +29,7 @@
   forgetAtMs: number
 }
 
-/** What came of a record that arrived. */
+/** What a received record changed. */
 export type PutOutcome = 'content' | 'load' | 'stale'
 export type LoadOutcome = 'load' | 'stale' | 'contentMissing'
 
@@ -69,7 +69,7 @@
     return kind
   }
 
-  /** An older record may still bring the news that an operator drained the endpoint. */
+  /** Applies the drained flag of an older record: an operator may have drained the endpoint through another host. */
   private _applyDrain (key: string, before: StoredRecord | undefined, record: FullRecord): PutOutcome {
     const isFirstDrain = before?.record.kind === RecordKind.Endpoint && isDrained(record) &&
       before.record.incarnation === record.incarnation && !before.record.drained
@@ -80,7 +80,7 @@
     return 'content'
   }
 
-  /** Takes over load and lease if the content is known already. */
+  /** Updates load and lease if the content of the record is already stored. */
   putLoad (entry: LoadRecord): LoadOutcome {
     const [kind, id, incarnation, sequence, contentSequence, leaseRemainingMs, loadAgeMs, load] = entry
     const key = keyOf(kind, id)
@@ -93,7 +93,7 @@
     return 'load'
   }
 
-  /** Removes what has expired. */
+  /** Removes expired records and tombstones. */
   expire (): void {
     const nowMs = this._clock.nowMs()
     for (const [key, { record, leaseEndsAtMs }] of this._records) {
@@ -107,7 +107,7 @@
     }
   }
 
-  /** The record with the times that remain now, to be sent. */
+  /** Returns a record for sending, with its lease and load age as of now. */
   export (key: RecordKey): FullRecord | undefined {
     const stored = this.get(key[0], key[1])
     return stored && this.exportStored(stored)
@@ -118,7 +118,7 @@
     return { ...record, leaseRemainingMs: Math.round(leaseEndsAtMs - nowMs), loadAgeMs: Math.round(nowMs - loadAtMs) }
   }
 
-  /** One hash for each bucket of records; hosts that know the same content have the same. */
+  /** Returns one hash per bucket of records; hosts with the same content have the same hashes. */
   bucketHashes (): number[] {
     const hashes = new Array<number>(BUCKETS_COUNT).fill(0)
     for (const [key, { record }] of this._records) {
@@ -129,7 +129,7 @@
     return hashes
   }
 
-  /** Versions of the records in some buckets. */
+  /** Returns the versions of the records in the given buckets. */
   versionsIn (buckets: number[]): VersionEntry[] {
     const wanted = new Set(buckets)
     const versions: VersionEntry[] = []
@@ -139,13 +139,13 @@
     return versions
   }
 
-  /** Versions of the records whose lease ends soon. */
+  /** Returns the versions of the records whose lease ends within `withinMs`. */
   versionsExpiringWithin (withinMs: number): VersionEntry[] {
     const untilMs = this._clock.nowMs() + withinMs
     return this.all().filter(({ leaseEndsAtMs }) => leaseEndsAtMs < untilMs).map(({ record }) => versionOf(record))
   }
 
-  /** Whether a version says more than what is held here. */
+  /** Whether a version is newer than the stored record, or has a drained flag that the stored record lacks. */
   isOutdatedBy ([kind, id, incarnation, sequence, drained]: VersionEntry): boolean {
     const key = keyOf(kind, id)
     const current = this._records.get(key)?.record
--- a/src/entry/directory/topology.ts
+++ b/src/entry/directory/topology.ts
@@ -1,6 +1,7 @@
 /**
- * Which entry hosts this one talks to: all of its data centre, and one relay
- * in each other. Hosts pick different relays, so that the work is spread.
+ * Selects the entry hosts that this one connects to: all of its own data
+ * centre, and one relay in each other data centre. Different hosts choose
+ * different relays, which spreads the load.
  */
 import type { EntryHost } from '../../protocol/hostCommands.js'
 import { rankByRendezvous } from './rendezvous.js'
@@ -8,10 +9,10 @@
 export interface TopologyOptions {
   hostId: string
   dataCentre: string
-  /** All registered entry hosts. */
+  /** Returns all registered entry hosts. */
   entryHosts: () => EntryHost[]
   connectedHostIds: () => string[]
-  /** Whether a host is known to live; a host that was never heard of may. */
+  /** Whether the state record of a host has not expired, so that the host may be alive. */
   mayBeAlive: (hostId: string) => boolean
 }
 
@@ -32,13 +33,13 @@
     return [...near, ...far]
   }
 
-  /** One host in each other data centre, a connected one if there is any. */
+  /** Returns one host in each other data centre, preferring a connected one. */
   relays (): string[] {
     const connected = new Set(this._options.connectedHostIds())
     return [...this._rankedRelays().values()].map(ranked => ranked.find(hostId => connected.has(hostId)) ?? ranked[0]).filter(hostId => hostId !== undefined)
   }
 
-  /** The hosts to stay connected with. */
+  /** Returns the hosts to keep connections to. */
   wantedConnections (): string[] {
     const preferred = [...this._rankedRelays().values()].map(ranked => ranked.find(hostId => this._options.mayBeAlive(hostId)) ?? ranked[0])
     return [...this.peersInDataCentre(), ...preferred.filter(hostId => hostId !== undefined)]
--- a/src/entry/entryProgram.ts
+++ b/src/entry/entryProgram.ts
@@ -1,6 +1,6 @@
 /**
- * The entry host: the one module that wires its parts, and the supervisor
- * tree they run in.
+ * The entry host: creates and connects its components, which run in this
+ * supervisor tree.
  *
  *     entry
  *     ├─ http, operators     one scope for each request
@@ -56,9 +56,9 @@
   logger: Logger
   supervisor: Supervisor
   control: ControlClient
-  /** Takes this host out of the configuration, as the last step of a planned stop. */
+  /** Removes this host from the configuration, as the last step of a planned stop. */
   deregister: (progress: Progress) => Promise<void>
-  /** Grows with every start of the process. */
+  /** Increases with every start of the process. */
   incarnation: number
   /** Called when a planned stop has ended. */
   onStopped: () => void
@@ -67,7 +67,7 @@
 enum ServingState {
   Starting = 'starting',
   Serving = 'serving',
-  /** Out of the advice, but still taking work. */
+  /** Withdrawn from advice, but still accepting work. */
   Leaving = 'leaving',
   Refusing = 'refusing'
 }
@@ -118,17 +118,17 @@
     this._operatorServer = this._createServer('operators', this._operatorRoutes())
   }
 
-  /** The directory that this host knows, for parts that are started beside it. */
+  /** The endpoint directory of this host, for components that run beside it. */
   get directory (): LiveDirectory {
     return this._fleet.directory
   }
 
-  /** Requests of callers whose answer has not ended. */
+  /** Number of caller requests whose response has not ended. */
   get inFlightCount (): number {
     return this._callerServer.inFlightCount
   }
 
-  /** Whether this host takes new work now. */
+  /** Whether this host accepts new work now. */
   get takesWork (): boolean {
     return this._state === ServingState.Serving && this._environment.control.holdsLease()
   }
@@ -144,7 +144,7 @@
     logger.event(EntryEvent.Started, { callerAddress: host.callerAddress })
   }
 
-  /** The planned stop; resolves when nothing runs any more. */
+  /** Runs the planned stop; resolves when nothing runs any more. */
   stop (): Promise<void> {
     this._stopping ??= this._stop()
     return this._stopping
@@ -280,12 +280,12 @@
     if (route.servedWithoutLease) return undefined
     const { control } = this._environment
     switch (this._state) {
-      case ServingState.Starting: return this._refuseWithOtherHosts(RefusalReason.HostNotReady, 'this host does not know the endpoints yet')
+      case ServingState.Starting: return this._refuseWithOtherHosts(RefusalReason.HostNotReady, 'this host is starting and has not loaded the endpoint directory yet')
       case ServingState.Refusing: return this._refuseWithOtherHosts(RefusalReason.HostStopping, 'this host is stopping')
       case ServingState.Serving:
       case ServingState.Leaving:
         if (control.holdsLease()) return undefined
-        return this._refuseWithOtherHosts(RefusalReason.LeaseLost, 'this host may work under an old configuration')
+        return this._refuseWithOtherHosts(RefusalReason.LeaseLost, 'this host holds no configuration lease, so its configuration may be outdated')
     }
   }
 
@@ -295,7 +295,7 @@
     return { reason, executed: Executed.No, message, otherHosts }
   }
 
-  /** Takes work only once the configuration and the endpoints are known. */
+  /** Starts serving once the configuration lease is held and the endpoint directory is loaded. */
   private async _becomeReady (scope: Scope): Promise<void> {
     const { clock, control, logger, supervisor } = this._environment
     while (!control.holdsLease()) await sleepUntil(clock, scope, clock.nowMs() + READINESS_CHECK_INTERVAL_MS)
--- a/src/entry/entrySettings.ts
+++ b/src/entry/entrySettings.ts
@@ -1,6 +1,6 @@
 /**
- * The settings of an entry host. Every limit has a default that suits a small
- * site; the lengths of leases must be the same on all entry hosts.
+ * The settings of an entry host. Every limit has a default suitable for a
+ * small site. The lease durations must be the same on all entry hosts.
  */
 import { z } from 'zod'
 import { addressSchema } from '../utils/settings.js'
@@ -15,32 +15,32 @@
 const limitsSchema = z.strictObject({
   /** A larger request body is refused before it is read. */
   maxBodyBytes: bytes.default(8 * MIB),
-  /** A longer head is refused with status 431. */
+  /** A larger request header block is refused with status 431. */
   maxHeadBytes: bytes.default(16 * KIB),
   maxConnectionsCount: count.default(20_000),
-  /** A caller that has not sent its whole head by then is cut off. */
+  /** The connection of a caller that has not sent all request headers by then is closed. */
   headTimeoutMs: durationMs.default(10_000),
-  /** A caller that takes nothing of its answer for this long is cut off. */
+  /** The connection of a caller that reads nothing of its response for this long is closed. */
   slowReaderTimeoutMs: durationMs.default(30_000),
-  /** For callers that name no deadline. */
+  /** Deadline of requests that name none. */
   defaultDeadlineMs: durationMs.default(60_000),
-  /** A later deadline counts as this one. */
+  /** Longer deadlines are reduced to this. */
   maxDeadlineMs: durationMs.default(600_000),
-  /** To open a connection to an endpoint. */
+  /** Time limit for opening a connection to an endpoint. */
   connectTimeoutMs: durationMs.default(2_000),
-  /** An engine that sends nothing for this long is given up. */
+  /** Inactivity timeout of an engine's response; the attempt fails afterwards. */
   engineSilenceMs: durationMs.default(30_000),
-  /** How long an unrepeatable call may run when its caller no longer waits. */
+  /** How long an unrepeatable call may run, even if its caller no longer waits. */
   unrepeatableTimeoutMs: durationMs.default(120_000),
-  /** A longer answer of an unrepeatable call is recorded without its body. */
+  /** The response of an unrepeatable call is recorded without its body if the body is larger. */
   maxRecordedBodyBytes: bytes.default(64 * KIB),
-  /** How long callers may keep an advice. */
+  /** How long callers may cache advice. */
   adviceValidMs: durationMs.default(5_000),
-  /** An endpoint that is not heard of for this long leaves the directory. */
+  /** An endpoint without an announcement for this long is removed from the directory. */
   endpointLeaseMs: durationMs.default(10_000),
-  /** An entry host that is not heard of for this long leaves the advice. */
+  /** An entry host without an update for this long is removed from advice. */
   hostLeaseMs: durationMs.default(6_000),
-  /** What still runs then is cut off, so that a planned stop ends. */
+  /** Time limit of a planned stop; requests that still run then are aborted. */
   maxStopMs: durationMs.default(900_000)
 })
 export type EntryLimits = z.output<typeof limitsSchema>
@@ -51,7 +51,7 @@
     dataCentre: z.string().min(1).max(64),
     /** Where callers, trainers and endpoints connect. */
     callerAddress: addressSchema,
-    /** Where the system's own processes connect. */
+    /** Where other processes of the system connect. */
     peerAddress: addressSchema,
     /** Where operators connect. */
     operatorAddress: addressSchema
--- a/src/entry/http/abortEmitter.ts
+++ b/src/entry/http/abortEmitter.ts
@@ -1,6 +1,6 @@
 /**
- * Tells undici to give up a request. An AbortController would do, but each
- * abort makes a DOMException with a stack, even when the answer is complete.
+ * An abort signal for undici requests. It replaces AbortController, whose every
+ * abort creates a DOMException with a stack trace, even after a complete response.
  */
 import { EventEmitter } from 'node:events'
 import type { Scope } from '../../utils/scope.js'
@@ -29,12 +29,12 @@
     this.emit(ABORT_EVENT)
   }
 
-  /** From now on the scope may close without an abort. */
+  /** Detaches from the scope: its closing no longer aborts the request. */
   detach (): void {
     this._dispose()
   }
 
-  /** The answer is complete: nothing is left to abort. */
+  /** Detaches from the scope and the request; called once the response is complete. */
   release (): void {
     this._dispose()
     this.removeAllListeners()
--- a/src/entry/http/answers.ts
+++ b/src/entry/http/answers.ts
@@ -1,6 +1,6 @@
 /**
- * How an entry host writes its answers: JSON, refusals, and streams that wait
- * for slow readers.
+ * Writes the responses of an entry host: JSON, refusals, and streams with back
+ * pressure from slow readers.
  */
 import type { ServerResponse } from 'node:http'
 import { CallerHeader } from '../../protocol/callers.js'
@@ -18,7 +18,7 @@
 
 export type WriteOutcome = 'written' | 'callerGone' | 'callerStalled'
 
-/** What a refusal that has no moment to come back gets, if it is worth coming back. */
+/** Whether a refusal with this status is temporary, so that it needs a retry-after time. */
 function isTemporary (status: number): boolean {
   return status === TOO_MANY_REQUESTS || status === SERVICE_UNAVAILABLE
 }
@@ -51,15 +51,15 @@
     response.end(text)
   }
 
-  /** Headers that every answer carries. */
+  /** Returns the headers that every response carries. */
   headers (exchange: Exchange): Record<string, string> {
     const headers: Record<string, string> = { [CallerHeader.ServedBy]: this._hostId, 'x-request-id': exchange.requestId }
-    // What is left of a body that nobody reads must not be taken for the next request.
+    // The unread rest of a request body must not be parsed as the next request.
     if (!exchange.request.complete) headers['connection'] = 'close'
     return headers
   }
 
-  /** Tells the caller that the system gave up; within a stream that has begun, as its last event. */
+  /** Responds with a refusal; in a stream that has already started, sends it as the last event. */
   refuse (exchange: Exchange, given: Refusal): void {
     const { response } = exchange
     const refusal = this._withRetryAfter(given)
@@ -74,7 +74,7 @@
     this.json(exchange, refusalStatus[refusal.reason], refusal, headers)
   }
 
-  /** Writes a part of a stream; waits while the reader is slow, so that nothing piles up here. */
+  /** Writes a chunk of a stream; waits while the reader is slow, so that data does not accumulate in memory. */
   async write (response: ServerResponse, chunk: string | Uint8Array, progress: Progress): Promise<WriteOutcome> {
     if (response.destroyed) return 'callerGone'
     if (response.write(chunk)) return 'written'
--- a/src/entry/http/callerIdentity.ts
+++ b/src/entry/http/callerIdentity.ts
@@ -1,5 +1,5 @@
 /**
- * Who calls, and in which priority class the call counts.
+ * Determines the caller of a request and the priority class of the call.
  */
 import type { ConfigurationView } from '../../controlClient/controlClient.js'
 import { CallerHeader, DEFAULT_PRIORITY_CLASS } from '../../protocol/callers.js'
@@ -13,20 +13,20 @@
   | { kind: 'caller', callerName: string, priorityClass: string }
   | { kind: 'refused', refusal: Refusal }
 
-/** A class that the operator declared for the caller goes before the one that the request names. */
+/** Returns caller and class; a class configured for the caller overrides the one that the request names. */
 export function callerOf ({ request }: Exchange, configuration: ConfigurationView): CallerOutcome {
   const callerName = headerOf(request.headers[CallerHeader.CallerName]) ?? ANONYMOUS_CALLER
   const declared = configuration.get(ResourceKind.CallerLimit, callerName)?.spec.priorityClass
   const priorityClass = declared ?? headerOf(request.headers[CallerHeader.PriorityClass])
   if (priorityClass === undefined) return { kind: 'caller', callerName, priorityClass: lowestClass(configuration) }
   if (!configuration.get(ResourceKind.PriorityClass, priorityClass)) {
-    const message = `there is no priority class ${priorityClass}`
+    const message = `unknown priority class ${priorityClass}`
     return { kind: 'refused', refusal: { reason: RefusalReason.UnknownPriorityClass, executed: Executed.No, message } }
   }
   return { kind: 'caller', callerName, priorityClass }
 }
 
-/** Who names no class gets the one that pays least. */
+/** Returns the class with the lowest paid weight, the default for callers that name none. */
 function lowestClass (configuration: ConfigurationView): string {
   const classes = configuration.list(ResourceKind.PriorityClass)
   const [first, ...others] = classes
--- a/src/entry/http/httpServer.ts
+++ b/src/entry/http/httpServer.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP server of an entry host: node:http with limits on heads, bodies,
- * connections and time, and a table of routes. Every request gets a scope that
- * closes when its caller goes, and a deadline.
+ * The HTTP server of an entry host: node:http with limits on header size,
+ * connections and time, and a table of routes. Every request gets a deadline
+ * and a scope that closes when the caller disconnects.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { Duplex } from 'node:stream'
@@ -38,9 +38,9 @@
   journal: RequestJournal
   limits: EntryLimits
   routes: Route[]
-  /** Why new work is refused now, if it is. */
+  /** Returns the refusal for new work on a route, or undefined if it is accepted. */
   refusalOf: (route: Route) => Refusal | undefined
-  /** Waits for what has just put a refusal in doubt. */
+  /** Waits until the configuration lease is certain again after a suspension of the machine. */
   settleLease: (scope: Scope) => Promise<void>
   onFatal: FatalHandler
 }
@@ -67,12 +67,12 @@
     this._server.on('clientError', (error: NodeJS.ErrnoException, socket) => answerClientError(error, socket))
   }
 
-  /** Requests whose answer has not ended. */
+  /** Number of requests whose response has not ended. */
   get inFlightCount (): number {
     return this._inFlightCount
   }
 
-  /** @returns the address that it is bound to */
+  /** @returns the bound address, `host:port` */
   async listen (address: string): Promise<string> {
     const { host, port } = parseAddress(address)
     await new Promise<void>((resolve, reject) => {
@@ -101,7 +101,7 @@
       return
     }
     const route = this._findRoute(request.method ?? 'GET', exchange.path)
-    if (!route) return answers.json(exchange, 404, { message: `nothing is served at ${request.method} ${exchange.path}` })
+    if (!route) return answers.json(exchange, 404, { message: `no route for ${request.method} ${exchange.path}` })
     const startedAtMs = clock.nowMs()
     metrics.count(MetricName.RequestReceived, { route: route.name })
     journal.add(exchange.requestId, route.name, clock.wallMs(), exchange.progress)
@@ -129,7 +129,7 @@
     this._inFlightCount++
     response.once('close', () => {
       this._inFlightCount--
-      scope.close(response.writableFinished ? 'answer ended' : 'the caller hung up')
+      scope.close(response.writableFinished ? 'response ended' : 'the caller disconnected')
     })
     const waitMs = Math.min(deadlineOf(request) ?? limits.defaultDeadlineMs, limits.maxDeadlineMs)
     const progress = new Progress(clock, scope, clock.nowMs() + waitMs)
@@ -166,7 +166,7 @@
   return typeof given === 'string' && given.length > 0 && given.length <= MAX_REQUEST_ID_LENGTH ? given : undefined
 }
 
-/** Answers what never became a request. */
+/** Responds to input that could not be parsed as a request. */
 function answerClientError (error: NodeJS.ErrnoException, socket: Duplex): void {
   if (error.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy()
--- a/src/entry/http/requestBody.ts
+++ b/src/entry/http/requestBody.ts
@@ -1,5 +1,5 @@
 /**
- * Reading the body of a request within limits of size and time.
+ * Reads request bodies within limits of size and time.
  */
 import { Executed, RefusalReason, type Refusal } from '../../protocol/refusals.js'
 import type { Exchange } from './route.js'
@@ -8,22 +8,22 @@
 
 const EMPTY = Buffer.alloc(0)
 
-/** Reads the whole body; one that is too large is refused as soon as that is known. */
+/** Reads the complete body; refuses one that is too large as soon as the declared or received size exceeds the limit. */
 export async function readBody (exchange: Exchange, maxBodyBytes: number): Promise<BodyOutcome> {
   const { request, progress } = exchange
   const declaredBytes = request.headers['content-length']
   if (declaredBytes === undefined && request.headers['transfer-encoding'] === undefined) return { kind: 'read', body: EMPTY }
   if (Number(declaredBytes ?? 0) > maxBodyBytes) return refused(RefusalReason.BodyTooLarge, tooLarge(maxBodyBytes))
   const collected = await progress.race(collect(exchange, maxBodyBytes))
-  if (collected.kind === 'deadlinePassed') return refused(RefusalReason.DeadlinePassed, 'the deadline passed while the body was read')
+  if (collected.kind === 'deadlinePassed') return refused(RefusalReason.DeadlinePassed, 'the deadline passed while reading the request body')
   if (collected.value === undefined) return refused(RefusalReason.BodyTooLarge, tooLarge(maxBodyBytes))
   return { kind: 'read', body: collected.value }
 }
 
-/** Replaces nothing: a prompt with bytes put in by the decoder is one that its caller never sent. */
+/** Rejects invalid UTF-8: with replacement characters, a prompt would differ from what the caller sent. */
 const utf8 = new TextDecoder('utf-8', { fatal: true })
 
-/** The body as JSON, or undefined if it is none, or no UTF-8. */
+/** Parses the body as JSON; returns undefined if it is not valid JSON or not valid UTF-8. */
 export function parseJson (body: Buffer): unknown {
   try {
     return JSON.parse(utf8.decode(body))
@@ -33,14 +33,17 @@
 }
 
 function tooLarge (maxBodyBytes: number): string {
-  return `the body is larger than ${maxBodyBytes} bytes`
+  return `the request body is larger than ${maxBodyBytes} bytes`
 }
 
 function refused (reason: RefusalReason, message: string): BodyOutcome {
   return { kind: 'refused', refusal: { reason, executed: Executed.No, message } }
 }
 
-/** Undefined when there is more than allowed; never settles if the caller goes, which closes the scope. */
+/**
+ * Collects the body; resolves with undefined if it exceeds the limit. Never
+ * settles if the caller disconnects, which closes the scope of the request.
+ */
 function collect ({ request }: Exchange, maxBodyBytes: number): Promise<Buffer | undefined> {
   return new Promise(resolve => {
     const chunks: Buffer[] = []
--- a/src/entry/http/requestJournal.ts
+++ b/src/entry/http/requestJournal.ts
@@ -1,6 +1,6 @@
 /**
- * What this host remembers of its recent requests, for `threaddrum explain`:
- * why each went where it did. Bounded; the oldest is forgotten first.
+ * A bounded log of the recent requests of this host and of their attempts, for
+ * `threaddrum explain`. The least recently used entry is evicted first.
  */
 import { LRUCache } from 'lru-cache'
 import type { Progress } from '../../utils/progress.js'
@@ -11,7 +11,7 @@
   requestId: string
   route: string
   startedAtMs: number
-  /** What was tried, oldest first. */
+  /** Log lines of the request's attempts, oldest first. */
   callLog: readonly string[]
 }
 
@@ -30,7 +30,7 @@
     this._requests.set(requestId, { route, startedAtMs, progress })
   }
 
-  /** Makes an attempt of a request known by its own id too. */
+  /** Makes a request searchable by the id of one of its attempts. */
   addAttempt (attemptId: string, requestId: string): void {
     this._attempts.set(attemptId, requestId)
   }
--- a/src/entry/operators/operatorRoutes.ts
+++ b/src/entry/operators/operatorRoutes.ts
@@ -1,6 +1,6 @@
 /**
- * What operators ask of one entry host: its status, why a request went where
- * it did, and planned stops of the host itself or of an endpoint.
+ * Routes for operators of one entry host: its status, the log of a request's
+ * attempts, and draining of the host or of an endpoint.
  */
 import { operatorPaths } from '../../protocol/operators.js'
 import type { ResponseWriter } from '../http/answers.js'
@@ -14,11 +14,11 @@
   answers: ResponseWriter
   journal: RequestJournal
   status: () => unknown
-  /** Begins the planned stop of this host. */
+  /** Starts the planned stop of this host. */
   drainHost: () => void
-  /** False if the endpoint is not known. */
+  /** Returns false if the endpoint is unknown. */
   drainEndpoint: (endpointId: string) => boolean
-  /** What the scheduler remembers of a request. */
+  /** Returns the scheduler's records of a request. */
   explainScheduling: (requestId: string) => unknown
 }
 
@@ -42,16 +42,16 @@
 function explain ({ answers, journal, explainScheduling }: OperatorRoutesOptions, exchange: Exchange): void {
   const id = decodePathSegment(exchange.path.slice(operatorPaths.explain.length))
   const entry = id === undefined ? undefined : journal.find(id)
-  if (!entry) return answers.json(exchange, 404, { message: `this host remembers no request or attempt ${id ?? 'that cannot be read'}` })
+  if (!entry) return answers.json(exchange, 404, { message: `no record of request or attempt ${id ?? 'with a malformed id'} on this host` })
   answers.json(exchange, 200, { ...entry, scheduling: explainScheduling(entry.requestId) })
 }
 
 function drainEndpoint ({ answers, drainEndpoint }: OperatorRoutesOptions, exchange: Exchange): void {
   const rest = exchange.path.slice(operatorPaths.endpoints.length)
-  if (!rest.endsWith(DRAIN_SUFFIX)) return answers.json(exchange, 404, { message: `nothing is served at ${exchange.path}` })
+  if (!rest.endsWith(DRAIN_SUFFIX)) return answers.json(exchange, 404, { message: `no route for ${exchange.path}` })
   const endpointId = decodePathSegment(rest.slice(0, -DRAIN_SUFFIX.length))
   if (endpointId === undefined || !drainEndpoint(endpointId)) {
-    return answers.json(exchange, 404, { message: `no endpoint ${endpointId ?? 'that cannot be read'} holds a lease` })
+    return answers.json(exchange, 404, { message: `no endpoint ${endpointId ?? 'with a malformed id'} holds a lease` })
   }
   answers.json(exchange, 202, { endpointId, draining: true })
 }
--- a/src/entry/peers/peerMesh.ts
+++ b/src/entry/peers/peerMesh.ts
@@ -1,8 +1,8 @@
 /**
- * Connections between entry hosts. One task for each host that is to stay
- * connected dials it again and again; other hosts are dialled when they are
- * called. A connection on which nothing comes back, as after a silent cut, is
- * closed, so that whoever relies on it learns of it.
+ * Connections between entry hosts. For each host that is to stay connected, a
+ * task reconnects whenever the connection closes; other hosts are dialled when
+ * they are called. A connection whose peer does not answer a ping, as in a
+ * network partition, is closed, which fails the pending calls on it.
  */
 import { z } from 'zod'
 import type { Connection, Transport } from '../../transport/connection.js'
@@ -28,7 +28,7 @@
 const helloMethod = rpcMethod('peer.hello', helloSchema, helloSchema)
 const pingMethod = rpcMethod('peer.ping', z.null(), z.null())
 
-/** Serves the shared methods, and `hello` for one connection. */
+/** Handlers of one connection: its own `hello`, and the methods shared by all connections. */
 class ConnectionHandlers extends RpcHandlers {
   private readonly _shared: RpcHandlers
 
@@ -50,7 +50,7 @@
   transport: Transport
   logger: Logger
   onFatal: (error: unknown) => void
-  /** Where a host is reached, `ip:port`; undefined if it is not registered. */
+  /** Returns the peer address of a host, `ip:port`; undefined if the host is not registered. */
   addressOf: (hostId: string) => string | undefined
 }
 
@@ -77,18 +77,18 @@
 
   async call<Request, Reply> (hostId: string, method: RpcMethod<Request, Reply>, body: Request, progress: Progress): Promise<CallOutcome<Reply>> {
     const peer = this._connectedPeers.get(hostId) ?? await progress.scope.race(this._dial(hostId))
-    if (!peer) return { kind: 'unserved', reason: `host ${hostId} cannot be reached` }
+    if (!peer) return { kind: 'unserved', reason: `host ${hostId} is unreachable` }
     return await peer.call(method, body, progress)
   }
 
-  /** Sends a one-way message if the host is connected. */
+  /** Sends a notification if the host is connected; returns whether it is. */
   notify<Request> (hostId: string, method: RpcMethod<Request, void>, body: Request): boolean {
     const peer = this._connectedPeers.get(hostId)
     peer?.notify(method, body)
     return peer !== undefined
   }
 
-  /** Keeps connections to just these hosts open from now on. */
+  /** Replaces the set of hosts to keep connections to. */
   keepConnected (hostIds: string[]): void {
     const wanted = new Set(hostIds)
     for (const [hostId, scope] of this._persistentScopes) {
@@ -171,7 +171,7 @@
     supervisor.spawn(`pings ${hostId}`, scope => this._pingWhenIdle(peer, scope))
   }
 
-  /** Asks for a sign of life whenever the other side has been silent. */
+  /** Pings the peer whenever it has been silent for PING_INTERVAL_MS, and closes the connection if no reply comes. */
   private async _pingWhenIdle (peer: RpcPeer, scope: Scope): Promise<void> {
     const { clock } = this._options
     const { connection } = peer
--- a/src/entry/plannedStop.ts
+++ b/src/entry/plannedStop.ts
@@ -1,7 +1,7 @@
 /**
- * The planned stop of an entry host. It leaves the advice first, serves until
- * the last advice that named it has expired, then refuses new work and lets
- * what runs come to its end.
+ * The planned stop of an entry host. The host first withdraws from advice,
+ * serves until all advice that names it has expired, then refuses new work and
+ * waits until the running requests have ended.
  */
 import { sleepUntil, type Clock } from '../utils/clock.js'
 import type { Logger } from '../utils/logger.js'
@@ -15,10 +15,10 @@
   logger: Logger
   adviceValidMs: number
   maxStopMs: number
-  /** Resolves with the instant by which the last advice that named this host was given. */
+  /** Resolves with the time after which no host names this one in advice. */
   withdrawFromAdvice: (scope: Scope) => Promise<number>
   refuseNewWork: () => void
-  /** Requests and tries that have not ended. */
+  /** Number of requests and attempts that have not ended. */
   runningCount: () => number
 }
 
--- a/src/entry/startEntry.ts
+++ b/src/entry/startEntry.ts
@@ -1,6 +1,6 @@
 /**
- * Starts an entry host in this process, with the real clock, network and
- * control hosts.
+ * Starts an entry host in this process with the system clock, TCP and the
+ * control hosts named in the settings.
  */
 import { NetworkControlClient } from '../controlClient/networkControlClient.js'
 import { TcpTransport } from '../transport/tcpTransport.js'
@@ -17,9 +17,9 @@
 export interface StartEntryOptions {
   logger: Logger
   metrics: Metrics
-  /** Called once when the process can no longer be trusted. */
+  /** Called on an error after which the process must not continue. */
   onFatal: (error: unknown) => void
-  /** Called when a planned stop, however it was asked for, has ended. */
+  /** Called when a planned stop, whoever requested it, has ended. */
   onStopped: () => void
 }
 
