--- a/src/entry/advice/adviceRoute.ts
+++ b/src/entry/advice/adviceRoute.ts
@@ -17,7 +17,7 @@
   dataCentre: string
   hosts: HostStates
   random: RandomSource
-  answers: ResponseWriter
+  responseWriter: ResponseWriter
   adviceValidMs: number
   revision: () => number
 }
@@ -51,7 +51,7 @@
   private _handle (exchange: Exchange): void {
     const advice = this.advise(exchange.query.get('dataCentre') ?? undefined)
     const headers = { 'cache-control': `max-age=${Math.floor(advice.validForMs / 1000)}` }
-    this._options.answers.json(exchange, 200, advice, headers)
+    this._options.responseWriter.json(exchange, 200, advice, headers)
   }
 
   /** Weighted random sampling without replacement: the probability of a host falls with its load. */
--- a/src/entry/completions/completionRoute.ts
+++ b/src/entry/completions/completionRoute.ts
@@ -18,7 +18,7 @@
 export interface CompletionRouteOptions {
   completions: EngineCompletions
   configuration: ConfigurationView
-  answers: ResponseWriter
+  responseWriter: ResponseWriter
   maxBodyBytes: number
 }
 
@@ -42,18 +42,18 @@
   }
 
   private async _handle (exchange: Exchange): Promise<void> {
-    const { answers, maxBodyBytes } = this._options
+    const { responseWriter, maxBodyBytes } = this._options
     const read = await readBody(exchange, maxBodyBytes)
-    if (read.kind === 'refused') return answers.refuse(exchange, read.refusal)
+    if (read.kind === 'refused') return responseWriter.refuse(exchange, read.refusal)
     const made = this._task(exchange, read.body)
-    if (made.kind === 'refused') return answers.refuse(exchange, made.refusal)
+    if (made.kind === 'refused') return responseWriter.refuse(exchange, made.refusal)
     if (made.request.stream) return await this._stream(exchange, made.task)
     const outcome = await this._options.completions.runChunks(made.task, exchange.progress, () => true)
     this._sendComplete(exchange, made.task, outcome)
   }
 
   private _sendComplete (exchange: Exchange, { model }: CompletionTask, outcome: CompletionOutcome): void {
-    if (outcome.kind === 'refused') return this._options.answers.refuse(exchange, outcome.refusal)
+    if (outcome.kind === 'refused') return this._options.responseWriter.refuse(exchange, outcome.refusal)
     const { tokens, versions } = outcome.completion
     const answer: CompletionAnswer = {
       id: exchange.requestId,
@@ -63,19 +63,19 @@
       finish_reason: outcome.finishReason,
       versions
     }
-    this._options.answers.json(exchange, 200, answer)
+    this._options.responseWriter.json(exchange, 200, answer)
   }
 
   private async _stream (exchange: Exchange, task: CompletionTask): Promise<void> {
-    const { completions, answers } = this._options
+    const { completions, responseWriter } = this._options
     const { response, progress } = exchange
     let finishSent = false
     const outcome = await completions.runChunks(task, progress, async chunks => {
       if (!response.headersSent) this._startStream(exchange)
       finishSent ||= chunks.at(-1)?.finish_reason != null
-      return await answers.write(response, eventsOf(exchange, chunks), progress) === 'written'
+      return await responseWriter.write(response, eventsOf(exchange, chunks), progress) === 'written'
     })
-    if (outcome.kind === 'refused') return answers.refuse(exchange, outcome.refusal)
+    if (outcome.kind === 'refused') return responseWriter.refuse(exchange, outcome.refusal)
     if (!response.headersSent) this._startStream(exchange)
     const last = finishSent ? '' : finishEvent(exchange, outcome)
     response.end(`${last}data: [DONE]\n\n`)
@@ -83,7 +83,7 @@
 
   private _startStream (exchange: Exchange): void {
     exchange.response.writeHead(200, {
-      ...this._options.answers.headers(exchange),
+      ...this._options.responseWriter.headers(exchange),
       'content-type': 'text/event-stream',
       'cache-control': 'no-store'
     })
--- a/src/entry/directory/pushQueue.ts
+++ b/src/entry/directory/pushQueue.ts
@@ -70,8 +70,8 @@
   private _shouldSendLoad (key: string, load: number[]): boolean {
     const sent = this._sent.get(key)
     if (!sent || this._loads.has(key)) return true
-    const { clock, resendAfterMs: renewAfterMs } = this._options
-    return clock.nowMs() - sent.atMs >= renewAfterMs || differsSignificantly(sent.load, load)
+    const { clock, resendAfterMs } = this._options
+    return clock.nowMs() - sent.atMs >= resendAfterMs || differsSignificantly(sent.load, load)
   }
 
   private _recordSent (key: string, load: number[]): void {
@@ -96,8 +96,8 @@
   }
 
   private _evictOldSent (): void {
-    const { clock, resendAfterMs: renewAfterMs } = this._options
-    const oldestMs = clock.nowMs() - 10 * renewAfterMs
+    const { clock, resendAfterMs } = this._options
+    const oldestMs = clock.nowMs() - 10 * resendAfterMs
     for (const [key, { atMs }] of this._sent) {
       if (atMs < oldestMs) this._sent.delete(key)
     }
--- a/src/entry/entryProgram.ts
+++ b/src/entry/entryProgram.ts
@@ -76,7 +76,7 @@
   private readonly _settings: EntrySettings
   private readonly _environment: EntryEnvironment
   private readonly _journal = new RequestJournal()
-  private readonly _answers: ResponseWriter
+  private readonly _responseWriter: ResponseWriter
   private readonly _fleet: Fleet
   private readonly _announcements: Announcements
   private readonly _adviceRoute: AdviceRoute
@@ -96,14 +96,14 @@
     const { host, limits } = settings
     this._settings = settings
     this._environment = environment
-    this._answers = new ResponseWriter(host.hostId, metrics, random, limits.slowReaderTimeoutMs)
+    this._responseWriter = new ResponseWriter(host.hostId, metrics, random, limits.slowReaderTimeoutMs)
     this._fleet = this._createFleet()
     this._announcements = this._createAnnouncements()
     this._adviceRoute = this._createAdvice()
     this._scheduler = createScheduler({ clock, random, directory: this._fleet.directory, configuration: control.configuration, metrics, scope: supervisor.scope })
     this._engineAgent = new Agent({ connect: { timeout: limits.connectTimeoutMs, noDelay: true }, pipelining: 1 })
     this._completions = this._createCompletions()
-    this._plainCalls = new PlainCalls({ ...this._sharedCallOptions(), answers: this._answers, metrics, connectTimeoutMs: limits.connectTimeoutMs })
+    this._plainCalls = new PlainCalls({ ...this._sharedCallOptions(), responseWriter: this._responseWriter, metrics, connectTimeoutMs: limits.connectTimeoutMs })
     this._unrepeatableCalls = new UnrepeatableCalls({
       ...this._sharedCallOptions(),
       hostId: host.hostId,
@@ -185,7 +185,7 @@
       store: this._fleet.store,
       gossip: this._fleet.gossip,
       hosts: this._fleet.hosts,
-      answers: this._answers,
+      answers: this._responseWriter,
       endpointLeaseMs: this._settings.limits.endpointLeaseMs
     })
   }
@@ -197,7 +197,7 @@
       dataCentre: host.dataCentre,
       hosts: this._fleet.hosts,
       random,
-      answers: this._answers,
+      responseWriter: this._responseWriter,
       adviceValidMs: limits.adviceValidMs,
       revision: () => control.configuration.revision
     })
@@ -246,7 +246,7 @@
       clock,
       random,
       metrics,
-      answers: this._answers,
+      responseWriter: this._responseWriter,
       journal: this._journal,
       limits: this._settings.limits,
       routes,
@@ -259,7 +259,7 @@
   private _callerRoutes (): Route[] {
     const { control, random } = this._environment
     const { maxBodyBytes } = this._settings.limits
-    const shared = { configuration: control.configuration, answers: this._answers, maxBodyBytes }
+    const shared = { configuration: control.configuration, responseWriter: this._responseWriter, maxBodyBytes }
     const completions = new CompletionRoute({ ...shared, completions: this._completions })
     const services = new ServiceRoute({ ...shared, random, plainCalls: this._plainCalls, unrepeatableCalls: this._unrepeatableCalls })
     return [this._adviceRoute.route(), this._announcements.route(), completions.route(), services.route(), ...this._rollouts.routes]
@@ -267,7 +267,7 @@
 
   private _operatorRoutes (): Route[] {
     return operatorRoutes({
-      answers: this._answers,
+      responseWriter: this._responseWriter,
       journal: this._journal,
       status: () => this._status(),
       drainHost: () => { this.stop().catch(error => this._onFatal('stop', error)) },
--- a/src/entry/http/httpServer.ts
+++ b/src/entry/http/httpServer.ts
@@ -34,7 +34,7 @@
   clock: Clock
   random: RandomSource
   metrics: Metrics
-  answers: ResponseWriter
+  responseWriter: ResponseWriter
   journal: RequestJournal
   limits: EntryLimits
   routes: Route[]
@@ -94,14 +94,14 @@
   }
 
   private async _serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const { clock, metrics, answers, journal } = this._options
+    const { clock, metrics, responseWriter, journal } = this._options
     const exchange = this._exchange(request, response)
     if (!exchange) {
       response.destroy()
       return
     }
     const route = this._findRoute(request.method ?? 'GET', exchange.path)
-    if (!route) return answers.json(exchange, 404, { message: `no route for ${request.method} ${exchange.path}` })
+    if (!route) return responseWriter.json(exchange, 404, { message: `no route for ${request.method} ${exchange.path}` })
     const startedAtMs = clock.nowMs()
     metrics.count(MetricName.RequestReceived, { route: route.name })
     journal.add(exchange.requestId, route.name, clock.wallMs(), exchange.progress)
@@ -110,12 +110,12 @@
       metrics.timing(MetricName.RequestDurationMs, clock.nowMs() - startedAtMs, { route: route.name })
     })
     const malformed = this._deadlineRefusal(request)
-    if (malformed) return answers.refuse(exchange, malformed)
+    if (malformed) return responseWriter.refuse(exchange, malformed)
     if (this._options.refusalOf(route)) await this._options.settleLease(exchange.progress.scope)
     const refusal = this._options.refusalOf(route)
     if (!refusal) return await route.handle(exchange)
     if (route.refuseNewWork) return await route.refuseNewWork(exchange, refusal)
-    answers.refuse(exchange, refusal)
+    responseWriter.refuse(exchange, refusal)
   }
 
   private _exchange (request: IncomingMessage, response: ServerResponse): Exchange | undefined {
--- a/src/entry/operators/operatorRoutes.ts
+++ b/src/entry/operators/operatorRoutes.ts
@@ -11,7 +11,7 @@
 const DRAIN_SUFFIX = '/drain'
 
 export interface OperatorRoutesOptions {
-  answers: ResponseWriter
+  responseWriter: ResponseWriter
   journal: RequestJournal
   status: () => unknown
   /** Starts the planned stop of this host. */
@@ -23,12 +23,12 @@
 }
 
 export function operatorRoutes (options: OperatorRoutesOptions): Route[] {
-  const { answers } = options
+  const { responseWriter } = options
   return [
-    operatorRoute('status', 'GET', operatorPaths.status, async exchange => answers.json(exchange, 200, options.status())),
+    operatorRoute('status', 'GET', operatorPaths.status, async exchange => responseWriter.json(exchange, 200, options.status())),
     operatorRoute('explain', 'GET', operatorPaths.explain, async exchange => explain(options, exchange)),
     operatorRoute('drain', 'POST', operatorPaths.drain, async exchange => {
-      answers.json(exchange, 202, { draining: true })
+      responseWriter.json(exchange, 202, { draining: true })
       options.drainHost()
     }),
     operatorRoute('drain_endpoint', 'POST', operatorPaths.endpoints, async exchange => drainEndpoint(options, exchange))
@@ -39,19 +39,19 @@
   return { name, method, pathPrefix, servedWithoutLease: true, handle }
 }
 
-function explain ({ answers, journal, explainScheduling }: OperatorRoutesOptions, exchange: Exchange): void {
+function explain ({ responseWriter, journal, explainScheduling }: OperatorRoutesOptions, exchange: Exchange): void {
   const id = decodePathSegment(exchange.path.slice(operatorPaths.explain.length))
   const entry = id === undefined ? undefined : journal.find(id)
-  if (!entry) return answers.json(exchange, 404, { message: `no record of request or attempt ${id ?? 'with a malformed id'} on this host` })
-  answers.json(exchange, 200, { ...entry, scheduling: explainScheduling(entry.requestId) })
+  if (!entry) return responseWriter.json(exchange, 404, { message: `no record of request or attempt ${id ?? 'with a malformed id'} on this host` })
+  responseWriter.json(exchange, 200, { ...entry, scheduling: explainScheduling(entry.requestId) })
 }
 
-function drainEndpoint ({ answers, drainEndpoint }: OperatorRoutesOptions, exchange: Exchange): void {
+function drainEndpoint ({ responseWriter, drainEndpoint }: OperatorRoutesOptions, exchange: Exchange): void {
   const rest = exchange.path.slice(operatorPaths.endpoints.length)
-  if (!rest.endsWith(DRAIN_SUFFIX)) return answers.json(exchange, 404, { message: `no route for ${exchange.path}` })
+  if (!rest.endsWith(DRAIN_SUFFIX)) return responseWriter.json(exchange, 404, { message: `no route for ${exchange.path}` })
   const endpointId = decodePathSegment(rest.slice(0, -DRAIN_SUFFIX.length))
   if (endpointId === undefined || !drainEndpoint(endpointId)) {
-    return answers.json(exchange, 404, { message: `no endpoint ${endpointId ?? 'with a malformed id'} holds a lease` })
+    return responseWriter.json(exchange, 404, { message: `no endpoint ${endpointId ?? 'with a malformed id'} holds a lease` })
   }
-  answers.json(exchange, 202, { endpointId, draining: true })
+  responseWriter.json(exchange, 202, { endpointId, draining: true })
 }
--- a/src/entry/services/plainCalls.ts
+++ b/src/entry/services/plainCalls.ts
@@ -29,7 +29,7 @@
 
 export interface PlainCallsOptions {
   scheduler: Scheduler
-  answers: ResponseWriter
+  responseWriter: ResponseWriter
   random: RandomSource
   metrics: Metrics
   logger: Logger
@@ -74,7 +74,7 @@
 
   /** Runs the call, with retries where they are safe, and responds to the caller. */
   async run (exchange: Exchange, call: ServiceCall): Promise<void> {
-    const { scheduler, answers } = this._options
+    const { scheduler, responseWriter } = this._options
     const { progress } = exchange
     const excludedEndpointIds: string[] = []
     let mayHaveRun = false
@@ -82,16 +82,16 @@
       const assigned = await scheduler.assign({ ...call.item, excludedEndpointIds }, progress)
       if (assigned.kind === 'refused') {
         const { reason, message, retryAfterMs } = assigned
-        return answers.refuse(exchange, withCallLog(exchange, { reason, message, retryAfterMs, executed: mayHaveRun ? Executed.Unknown : Executed.No }))
+        return responseWriter.refuse(exchange, withCallLog(exchange, { reason, message, retryAfterMs, executed: mayHaveRun ? Executed.Unknown : Executed.No }))
       }
       const outcome = await this._attempt(exchange, call, assigned.assignment)
       if (outcome.kind === 'passedOn') return
       if (outcome.kind === 'deadlinePassed') {
-        return answers.refuse(exchange, withCallLog(exchange, { reason: RefusalReason.DeadlinePassed, executed: Executed.Unknown, message: 'the deadline passed before a response arrived' }))
+        return responseWriter.refuse(exchange, withCallLog(exchange, { reason: RefusalReason.DeadlinePassed, executed: Executed.Unknown, message: 'the deadline passed before a response arrived' }))
       }
       mayHaveRun ||= outcome.mayHaveRun
       const refusal = this._refusalUnlessRetried(call, outcome, mayHaveRun)
-      if (refusal) return answers.refuse(exchange, withCallLog(exchange, refusal))
+      if (refusal) return responseWriter.refuse(exchange, withCallLog(exchange, refusal))
       excludedEndpointIds.push(assigned.assignment.endpoint.announcement.endpointId)
     }
   }
@@ -158,12 +158,12 @@
   }
 
   private async _forward ({ exchange }: Attempt, { statusCode, headers, body }: Dispatcher.ResponseData): Promise<AttemptOutcome> {
-    const { answers, metrics } = this._options
+    const { responseWriter, metrics } = this._options
     const { response, progress } = exchange
     const raced = await progress.race(readUpToLimit(body))
     if (raced.kind === 'deadlinePassed') return raced
     const buffered = raced.value
-    const forwarded: Record<string, string> = { ...responseHeaders(headers), ...answers.headers(exchange) }
+    const forwarded: Record<string, string> = { ...responseHeaders(headers), ...responseWriter.headers(exchange) }
     const declaredBytes = headers['content-length']
     if (typeof declaredBytes === 'string') forwarded['content-length'] = declaredBytes
     switch (buffered.kind) {
@@ -187,8 +187,8 @@
    * so that the caller does not take the truncated response for complete.
    */
   private async _stream ({ response, progress }: Exchange, { first, rest }: Extract<BufferedBody, { kind: 'large' }>): Promise<boolean> {
-    const { answers, metrics } = this._options
-    if (await answers.write(response, first, progress) !== 'written') return false
+    const { responseWriter, metrics } = this._options
+    if (await responseWriter.write(response, first, progress) !== 'written') return false
     for (;;) {
       const next = await progress.race(rest.next().catch(() => undefined))
       if (next.kind === 'deadlinePassed' || next.value === undefined) {
@@ -200,7 +200,7 @@
         response.end()
         return true
       }
-      if (await answers.write(response, next.value.value, progress) !== 'written') return false
+      if (await responseWriter.write(response, next.value.value, progress) !== 'written') return false
     }
   }
 }
--- a/src/entry/services/serviceRoute.ts
+++ b/src/entry/services/serviceRoute.ts
@@ -22,7 +22,7 @@
   plainCalls: PlainCalls
   unrepeatableCalls: UnrepeatableCalls
   configuration: ConfigurationView
-  answers: ResponseWriter
+  responseWriter: ResponseWriter
   random: RandomSource
   maxBodyBytes: number
 }
@@ -54,11 +54,11 @@
   }
 
   private async _handle (exchange: Exchange): Promise<void> {
-    const { answers, plainCalls: plain, maxBodyBytes, configuration } = this._options
+    const { responseWriter, plainCalls, maxBodyBytes, configuration } = this._options
     const target = this._target(exchange)
-    if (!target) return answers.refuse(exchange, refusal(RefusalReason.UnknownPool, `no service pool serves ${exchange.path}`))
+    if (!target) return responseWriter.refuse(exchange, refusal(RefusalReason.UnknownPool, `no service pool serves ${exchange.path}`))
     const key = this._key(exchange, target)
-    if (key.kind === 'refused') return answers.refuse(exchange, key.refusal)
+    if (key.kind === 'refused') return responseWriter.refuse(exchange, key.refusal)
     const caller = callerOf(exchange, configuration)
     if (caller.kind === 'refused') return await this._refuse(exchange, key, caller.refusal)
     const read = await readBody(exchange, maxBodyBytes)
@@ -79,7 +79,7 @@
       headers: request.headers,
       body: read.body
     }
-    if (key.kind === 'none') return await plain.run(exchange, call)
+    if (key.kind === 'none') return await plainCalls.run(exchange, call)
     this._answer(exchange, await this._options.unrepeatableCalls.run(key.key, call, exchange.requestId, exchange.progress))
   }
 
@@ -91,18 +91,18 @@
   }
 
   private async _refuse (exchange: Exchange, key: KeyOutcome, given: Refusal): Promise<void> {
-    if (key.kind !== 'key') return this._options.answers.refuse(exchange, given)
+    if (key.kind !== 'key') return this._options.responseWriter.refuse(exchange, given)
     this._answer(exchange, await this._options.unrepeatableCalls.releaseAndRefuse(key.key, this._options.random.id(), given))
   }
 
   private _answer (exchange: Exchange, outcome: UnrepeatableOutcome): void {
-    const { answers } = this._options
-    if (outcome.kind === 'refused') return answers.refuse(exchange, { callLog: [...exchange.progress.callLog], ...outcome.refusal })
+    const { responseWriter } = this._options
+    if (outcome.kind === 'refused') return responseWriter.refuse(exchange, { callLog: [...exchange.progress.callLog], ...outcome.refusal })
     const { status, contentType, body } = outcome.answer
     const headers: Record<string, string> = {}
     if (contentType !== undefined) headers['content-type'] = contentType
     if (outcome.replayed) headers[CallerHeader.Replayed] = 'true'
-    answers.text(exchange, status, body, headers)
+    responseWriter.text(exchange, status, body, headers)
   }
 
   private _target ({ path, request }: Exchange): Target | undefined {
