--- a/src/entry/completions/engineCompletions.ts
+++ b/src/entry/completions/engineCompletions.ts
@@ -137,7 +137,7 @@
   }
 
   private async _onChunks (run: Run, attemptId: string, endpointId: string, chunks: CompletionChunk[]): Promise<ReadDecision> {
-    const fresh: CompletionChunk[] = []
+    const newChunks: CompletionChunk[] = []
     let gapTooLarge = false
     for (const chunk of chunks) {
       if (chunk.id !== attemptId) {
@@ -146,19 +146,19 @@
       }
       run.mayHaveRun = true
       const accepted = run.assembly.accept(chunk)
-      if (accepted.kind === 'accepted') fresh.push(...accepted.chunks)
+      if (accepted.kind === 'accepted') newChunks.push(...accepted.chunks)
       else gapTooLarge = true
     }
-    if (fresh.length > 0) run.firstTokenAtMs ??= run.progress.clock.nowMs()
-    if (fresh.length > 0 && !await this._deliver(run, fresh)) return ReadDecision.Stop
+    if (newChunks.length > 0) run.firstTokenAtMs ??= run.progress.clock.nowMs()
+    if (newChunks.length > 0 && !await this._deliver(run, newChunks)) return ReadDecision.Stop
     if (run.assembly.finishReason !== undefined) return ReadDecision.Complete
     return gapTooLarge ? ReadDecision.Stop : ReadDecision.Continue
   }
 
-  private async _deliver (run: Run, fresh: CompletionChunk[]): Promise<boolean> {
-    const tokensCount = fresh.reduce((sum, chunk) => sum + chunk.tokens.length, 0)
+  private async _deliver (run: Run, newChunks: CompletionChunk[]): Promise<boolean> {
+    const tokensCount = newChunks.reduce((sum, chunk) => sum + chunk.tokens.length, 0)
     this._options.metrics.count(MetricName.TokensStreamed, {}, tokensCount)
-    if (await run.sink(fresh)) return true
+    if (await run.sink(newChunks)) return true
     run.isStoppedBySink = true
     return false
   }
--- a/src/entry/directory/fleet.ts
+++ b/src/entry/directory/fleet.ts
@@ -92,7 +92,7 @@
     await this.mesh.listen(settings.host.peerAddress)
     this.gossip.start()
     supervisor.spawn('topology', scope => this._maintainConnections(scope))
-    supervisor.spawn('host state', scope => this.hosts.publishRepeatedly(scope))
+    supervisor.spawn('host state', scope => this.hosts.publishPeriodically(scope))
   }
 
   /** Resolves when this host has fetched the records of its peers, or the wait limit has passed. */
--- a/src/entry/directory/hostStates.ts
+++ b/src/entry/directory/hostStates.ts
@@ -66,7 +66,7 @@
     return this._options.store.get(RecordKind.Host, hostId) !== undefined
   }
 
-  async publishRepeatedly (scope: Scope): Promise<void> {
+  async publishPeriodically (scope: Scope): Promise<void> {
     const { clock } = this._options
     for (;;) {
       this.publish()
--- a/src/entry/entryProgram.ts
+++ b/src/entry/entryProgram.ts
@@ -261,7 +261,7 @@
     const { maxBodyBytes } = this._settings.limits
     const shared = { configuration: control.configuration, responseWriter: this._responseWriter, maxBodyBytes }
     const completions = new CompletionRoute({ ...shared, completions: this._completions })
-    const services = new ServiceRoute({ ...shared, random, plainCalls: this._plainCalls, unrepeatableCalls: this._unrepeatableCalls })
+    const services = new ServiceRoute({ ...shared, random, plainCalls: this._plainCalls, unrepeatable: this._unrepeatableCalls })
     return [this._adviceRoute.route(), this._announcements.route(), completions.route(), services.route(), ...this._rollouts.routes]
   }
 
--- a/src/entry/services/oneShotCall.ts
+++ b/src/entry/services/oneShotCall.ts
@@ -72,13 +72,13 @@
   }
 }
 
-async function exchange (origin: string, socket: Socket, request: OneShotRequest, { maxResponseBytes: maxAnswerBytes }: OneShotLimits): Promise<OneShotOutcome> {
+async function exchange (origin: string, socket: Socket, request: OneShotRequest, { maxResponseBytes }: OneShotLimits): Promise<OneShotOutcome> {
   const client = new Client(origin, {
     pipelining: 0,
     connect: singleSocketConnector(socket),
     headersTimeout: 0,
     bodyTimeout: 0,
-    maxResponseSize: maxAnswerBytes
+    maxResponseSize: maxResponseBytes
   })
   try {
     const { statusCode, headers, body } = await client.request({ ...request, body: request.body.length > 0 ? request.body : null, reset: true })
@@ -97,10 +97,10 @@
  * that calls back synchronously.
  */
 function singleSocketConnector (socket: Socket): buildConnector.connector {
-  let isTaken = false
+  let isUsed = false
   return (_options, callback) => {
-    const isUsable = !isTaken && !socket.destroyed
-    isTaken = true
+    const isUsable = !isUsed && !socket.destroyed
+    isUsed = true
     process.nextTick(() => {
       if (isUsable && !socket.destroyed) callback(null, socket)
       else callback(new Error('the connection was closed or already used'), null)
--- a/src/entry/services/serviceRoute.ts
+++ b/src/entry/services/serviceRoute.ts
@@ -20,7 +20,7 @@
 
 export interface ServiceRouteOptions {
   plainCalls: PlainCalls
-  unrepeatableCalls: UnrepeatableCalls
+  unrepeatable: UnrepeatableCalls
   configuration: ConfigurationView
   responseWriter: ResponseWriter
   random: RandomSource
@@ -49,7 +49,7 @@
       pathPrefix: callerPaths.services,
       servedWithoutLease: false,
       handle: exchange => this._handle(exchange),
-      refuseNewWork: (exchange, refusal) => this._refuseNew(exchange, refusal)
+      refuseNewWork: (exchange, refusal) => this._refuseNewWork(exchange, refusal)
     }
   }
 
@@ -80,11 +80,11 @@
       body: read.body
     }
     if (key.kind === 'none') return await plainCalls.run(exchange, call)
-    this._answer(exchange, await this._options.unrepeatableCalls.run(key.key, call, exchange.requestId, exchange.progress))
+    this._respond(exchange, await this._options.unrepeatable.run(key.key, call, exchange.requestId, exchange.progress))
   }
 
   /** Refuses a call that this host may not accept now; a reported "not run" must hold for every attempt of the key. */
-  private async _refuseNew (exchange: Exchange, given: Refusal): Promise<void> {
+  private async _refuseNewWork (exchange: Exchange, given: Refusal): Promise<void> {
     const target = this._target(exchange)
     const key = target ? this._key(exchange, target) : { kind: 'none' as const }
     await this._refuse(exchange, key, given)
@@ -92,10 +92,10 @@
 
   private async _refuse (exchange: Exchange, key: KeyOutcome, given: Refusal): Promise<void> {
     if (key.kind !== 'key') return this._options.responseWriter.refuse(exchange, given)
-    this._answer(exchange, await this._options.unrepeatableCalls.releaseAndRefuse(key.key, this._options.random.id(), given))
+    this._respond(exchange, await this._options.unrepeatable.releaseAndRefuse(key.key, this._options.random.id(), given))
   }
 
-  private _answer (exchange: Exchange, outcome: UnrepeatableOutcome): void {
+  private _respond (exchange: Exchange, outcome: UnrepeatableOutcome): void {
     const { responseWriter } = this._options
     if (outcome.kind === 'refused') return responseWriter.refuse(exchange, { callLog: [...exchange.progress.callLog], ...outcome.refusal })
     const { status, contentType, body } = outcome.answer
--- a/tests/entry/completions.test.ts
+++ b/tests/entry/completions.test.ts
@@ -1,6 +1,7 @@
 /**
- * Completions through a host: whole answers under engines that answer late,
- * out of order, twice, half or under another id, and that die in the middle.
+ * Completions through an entry host: answers stay complete and correct although
+ * engines send chunks out of order, twice, in part or with another id, or fail
+ * in mid-stream.
  */
 import { once } from 'node:events'
 import test from 'ava'
@@ -14,7 +15,7 @@
 
 async function withEngines (handlers: Handler[], run: (host: TestHost, engines: TestEndpoint[]) => Promise<void>): Promise<unknown[]> {
   const cluster = new EntryCluster()
-  // Only a cancelled request ends a silent stream within the test.
+  // The timeout exceeds the test, so that only cancellation ends a silent stream.
   const host = await cluster.start('ubungo', { engineSilenceMs: 600_000 })
   const engines = await Promise.all(handlers.map((handler, index) => new TestEndpoint(`engine-${index}`, EndpointKind.Engine, handler).start(host)))
   try {
@@ -54,7 +55,7 @@
 
 const WORDS = ['a', 'b', 'c', 'd']
 
-test('should answer a completion whole and as a stream', async t => {
+test('should return a completion as one response and as a stream', async t => {
   const fatal = await withEngines([answers(WORDS)], async host => {
     const whole = await complete(host)
     t.is(whole.status, 200, whole.text)
@@ -66,7 +67,7 @@
   t.deepEqual(fatal, [])
 })
 
-test('should refuse a body with bytes that are no UTF-8, and run nothing', async t => {
+test('should refuse a body with invalid UTF-8 and run nothing', async t => {
   let runsCount = 0
   const counting: Handler = async (request, response, body) => {
     runsCount++
@@ -82,7 +83,7 @@
   })
 })
 
-test('should put chunks that come out of order and twice together once', async t => {
+test('should assemble out-of-order and duplicate chunks without repeating tokens', async t => {
   const shuffled: Handler = (_request, response, body) => {
     const { request_id: id = '' } = completionOf(body)
     response.writeHead(200, SSE)
@@ -97,7 +98,7 @@
   })
 })
 
-test('should drop and count chunks under another request id', async t => {
+test('should drop and count chunks with another request id', async t => {
   const mixed: Handler = (_request, response, body) => {
     const { request_id: id = '' } = completionOf(body)
     response.writeHead(200, SSE)
@@ -111,7 +112,7 @@
   })
 })
 
-test('should go on at another engine when one dies in the middle', async t => {
+test('should resume on another engine when one fails in mid-stream', async t => {
   const dying: Handler = (request, response, body) => {
     const { request_id: id = '', resume_tokens: resumed } = completionOf(body)
     if (resumed) return answers(WORDS)(request, response, body)
@@ -126,7 +127,7 @@
   })
 })
 
-test('should take a stream without its end for broken, never for whole', async t => {
+test('should treat a stream without a finish reason as failed, never as complete', async t => {
   const half: Handler = (_request, response, body) => {
     const { request_id: id = '' } = completionOf(body)
     response.writeHead(200, SSE)
@@ -139,7 +140,7 @@
   })
 })
 
-test('should cancel at the engine when the caller goes', async t => {
+test('should cancel the request at the engine when the caller disconnects', async t => {
   let cancelled = false
   const endless: Handler = (_request, response, body) => {
     const { request_id: id = '' } = completionOf(body)
@@ -161,7 +162,7 @@
   })
 })
 
-test('should hold an engine back while the caller reads slowly', async t => {
+test('should apply back pressure to the engine while the caller reads slowly', async t => {
   const padding = 'x'.repeat(16_384)
   let sentCount = 0
   const eager: Handler = async (_request, response, body) => {
@@ -191,7 +192,7 @@
   })
 })
 
-test('should refuse at once and in JSON what it will not run', async t => {
+test('should refuse invalid requests, and new ones without a lease, at once and in JSON', async t => {
   await withEngines([answers(WORDS)], async host => {
     const malformed = await complete(host, { max_tokens: 'many' })
     t.is(malformed.status, 400)
--- a/tests/entry/directory.test.ts
+++ b/tests/entry/directory.test.ts
@@ -1,6 +1,6 @@
 /**
- * The directory between entry hosts: what every host knows, how soon, and
- * what it does after losses, cuts and restarts.
+ * The directory shared by entry hosts: propagation of records and its delay,
+ * and recovery after lost messages, partitions and restarts.
  */
 import test from 'ava'
 import { defaultLimits } from '../../src/entry/entrySettings.js'
@@ -9,7 +9,7 @@
 import { MemoryFleet, type FleetHost } from '../fixtures/memoryFleet.js'
 
 const CONNECT_MS = 3_000
-/** No new work reaches a leaving endpoint after this. */
+/** Time within which every host must know that an endpoint leaves. */
 const LEAVING_BOUND_MS = 3_000
 
 async function sixHosts (): Promise<{ net: MemoryFleet, hosts: [FleetHost, FleetHost, FleetHost, FleetHost, FleetHost, FleetHost] }> {
@@ -24,7 +24,7 @@
   return hosts.map(({ fleet }) => fleet.directory.available('lm').length)
 }
 
-test('should tell every host of an endpoint, of its load and that it leaves', async t => {
+test('should propagate an endpoint, its load and its departure to every host', async t => {
   const { net, hosts } = await sixHosts()
   hosts[0].announcements.announce(net.announcement('engine'))
   await net.clock.advance(10)
@@ -37,9 +37,9 @@
   t.deepEqual(available(hosts), [0, 0, 0, 0, 0, 0])
 })
 
-test('should cross to another data centre once for each change', async t => {
+test('should send each change to another data centre only once', async t => {
   const { net, hosts } = await sixHosts()
-  // A moment in which no host renews its own record.
+  // At this time no host renews its own record, which would add messages.
   await net.clock.advance(100)
   const before = { ...net.messages }
   hosts[0].announcements.announce(net.announcement('engine'))
@@ -49,7 +49,7 @@
   t.deepEqual(available(hosts), [1, 1, 1, 1, 1, 1])
 })
 
-test('should drop an endpoint that falls silent, and not take it back from a late copy', async t => {
+test('should remove a silent endpoint and not restore it from a delayed copy', async t => {
   const { net, hosts } = await sixHosts()
   hosts[0].announcements.announce(net.announcement('engine'))
   await net.clock.advance(10)
@@ -61,7 +61,7 @@
   t.deepEqual(available(hosts), [0, 0, 0, 0, 0, 0])
 })
 
-test('should repair what was lost in a silent cut between data centres', async t => {
+test('should repair records that were lost in a partition between data centres', async t => {
   const { net, hosts } = await sixHosts()
   hosts[0].announcements.announce(net.announcement('engine-1'))
   await net.clock.advance(10)
@@ -81,7 +81,7 @@
   t.deepEqual(hosts.map(({ fleet }) => fleet.directory.all().length), Array(6).fill(2))
 })
 
-test('should find by digest what was lost on the way, though nothing is announced again', async t => {
+test('should find lost records by digest, though nothing is announced again', async t => {
   const { net, hosts } = await sixHosts()
   for (const other of hosts.slice(2)) net.network.cut(hosts[1].ip, other.ip)
   net.network.cut(hosts[0].ip, hosts[1].ip)
@@ -122,7 +122,7 @@
   }
 })
 
-test('should keep an endpoint drained for its incarnation, whatever is announced and wherever', async t => {
+test('should keep an endpoint drained for its incarnation, whatever is announced at whichever host', async t => {
   const { net, hosts } = await sixHosts()
   hosts[0].announcements.announce(net.announcement('engine'))
   await net.clock.advance(10)
@@ -158,7 +158,7 @@
   for (const digest of digests) t.deepEqual(digest, digests[0])
 })
 
-test('should take a stopping host out of the advice of all others before it says so', async t => {
+test('should remove a stopping host from the advice of all others before it reports the withdrawal', async t => {
   const { net, hosts } = await sixHosts()
   await net.clock.advance(5_000)
   const others = hosts.slice(1)
@@ -167,7 +167,7 @@
   for (const { fleet } of others) t.false(fleet.hosts.serving().some(({ hostId }) => hostId === 'host1'))
 })
 
-test('should count a host that does not confirm as one that advises until the lease ends', async t => {
+test('should assume that a host that does not confirm a stop advises the stopping host until its lease ends', async t => {
   const { net, hosts } = await sixHosts()
   await net.clock.advance(5_000)
   net.network.cut(hosts[0].ip, hosts[5].ip)
@@ -176,7 +176,7 @@
   t.is(await net.clock.advanceUntil(leaving), startedAtMs + defaultLimits.hostLeaseMs)
 })
 
-test('should move only the keys of a candidate that goes', t => {
+test('should reassign only the keys of a removed candidate', t => {
   const candidates = ['h1', 'h2', 'h3', 'h4']
   const keys = Array.from({ length: 200 }, (_, index) => `engine-${index}`)
   for (const key of keys) {
--- a/tests/entry/lifecycleFuzz.test.ts
+++ b/tests/entry/lifecycleFuzz.test.ts
@@ -1,7 +1,8 @@
 /**
- * Requests through two hosts at once, over services and a control that go
- * wrong in every way, against an oracle that only counts: never two
- * executions, "not run" always true, every request one final answer.
+ * Fuzz test of requests through two entry hosts with injected faults of the
+ * services and of control. An oracle that counts executions checks that no
+ * unrepeatable request runs twice, that a reported "not run" is true, and that
+ * every request gets exactly one final response.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import test from 'ava'
@@ -22,9 +23,9 @@
 enum Behaviour {
   Answers = 'answers',
   AnswersAfterDelay = 'answersLate',
-  /** Runs it, fails with 500. */
+  /** Runs the call and responds with status 500. */
   Fails = 'fails',
-  /** Says, truly, that it did not run. */
+  /** Does not run the call and reports that. */
   NotExecuted = 'notExecuted',
   DiesBefore = 'diesBefore',
   DiesAfter = 'diesAfter',
@@ -51,7 +52,7 @@
 interface Scenario {
   path: '/returns' | '/stock'
   script: Behaviour[]
-  /** Sends of one round go out together, the next round after their answers. */
+  /** The requests of one round are sent concurrently; the next round starts after their responses. */
   rounds: Send[][]
 }
 
@@ -68,7 +69,7 @@
   rounds: fc.array(fc.array(sendArbitrary, { minLength: 1, maxLength: 3 }), { minLength: 1, maxLength: 3 })
 })
 
-/** What the service saw, by the body of the calls. */
+/** A service that behaves as the script in the request body demands, and counts executions by key. */
 class Oracle {
   readonly executions = new Map<string, number>()
   private readonly _calls = new Map<string, number>()
@@ -120,7 +121,7 @@
   }
 }
 
-/** Undefined for a caller that hung up. */
+/** Undefined if the caller disconnected. */
 type FinalAnswer = { status: number, text: string } | undefined
 
 const unconfirmedCommandOf: Partial<Record<InjectedControlFault, UnrepeatableCommandKind>> = {
@@ -129,7 +130,7 @@
   [InjectedControlFault.ReleaseUnconfirmed]: UnrepeatableCommandKind.Release
 }
 
-/** The answer to the next command of a kind is lost once. */
+/** Sets the lease of the host, and makes the reply to the next command of the fault's kind get lost once. */
 function injectControlFault (host: TestHost, kind: InjectedControlFault): void {
   host.control.leaseHeld = kind !== InjectedControlFault.NoLease
   const lostKind = unconfirmedCommandOf[kind]
--- a/tests/entry/plainCalls.test.ts
+++ b/tests/entry/plainCalls.test.ts
@@ -1,6 +1,7 @@
 /**
- * Plain service calls and hostile callers: answers that never cross, retries
- * only of what may be repeated, refusals at once and in JSON.
+ * Plain service calls and misbehaving callers: no caller gets the response of
+ * another one, only idempotent calls are retried, and refusals are immediate
+ * and in JSON.
  */
 import { connect } from 'node:net'
 import test from 'ava'
@@ -29,7 +30,7 @@
   return { status: answer.statusCode, text: await answer.body.text() }
 }
 
-/** Sends raw bytes and reads until the other side closes. */
+/** Sends raw bytes and reads until the host closes the connection. */
 async function raw (host: TestHost, bytes: string): Promise<string> {
   const { hostname, port } = new URL(host.url)
   const socket = connect(Number(port), hostname)
@@ -42,7 +43,7 @@
   })
 }
 
-test('should pass a call on with its method, path, query and body', async t => {
+test('should forward a call with its method, path, query and body', async t => {
   const echo: Handler = (request, response, body) => { response.setHeader('x-own', 'kept').end(`${request.method} ${request.url} ${body.toString()}`) }
   await withService(echo, async host => {
     t.is((await call(host, '/stock?drum=7')).text, 'GET /stock?drum=7 ')
@@ -50,7 +51,7 @@
   })
 })
 
-test('should try a broken answer again for a call that may be repeated, and only for that', async t => {
+test('should retry after a truncated response only if the call is idempotent', async t => {
   let callsCount = 0
   const brokenFirst: Handler = (request, response) => {
     if (++callsCount > 1) {
@@ -70,7 +71,7 @@
   })
 })
 
-test('should never hand a second answer to the next caller', async t => {
+test('should never deliver a surplus response to the next caller', async t => {
   const twice: Handler = (request, response, body) => {
     const id = request.headers['x-request-id']
     const text = body.toString()
@@ -90,7 +91,7 @@
   })
 })
 
-test('should cut an answer that breaks off after its first byte went to the caller', async t => {
+test('should close the connection when a response breaks off after its first byte was forwarded', async t => {
   const large = 'x'.repeat(400 * 1024)
   const breaking: Handler = (request, response) => {
     response.writeHead(200, { 'content-length': 2 * large.length })
@@ -101,7 +102,7 @@
   })
 })
 
-test('should refuse floods, giants and the unknown in JSON and at once', async t => {
+test('should refuse oversized, slow, malformed and unknown requests in JSON and at once', async t => {
   await withService((_request, response) => { response.end() }, async host => {
     const flood = await raw(host, `GET /v1/advice HTTP/1.1\r\nhost: x\r\nx-flood: ${'f'.repeat(20_000)}\r\n\r\n`)
     t.regex(flood, /^HTTP\/1\.1 431 /)
--- a/tests/entry/processes.test.ts
+++ b/tests/entry/processes.test.ts
@@ -1,6 +1,6 @@
 /**
- * Entry hosts as processes: killed around an unrepeatable call, stopped under
- * load, and left without control.
+ * Entry hosts as separate processes: killed before, during and after an
+ * unrepeatable call, stopped under load, and without a control quorum.
  */
 import test from 'ava'
 import { request } from 'undici'
@@ -9,7 +9,7 @@
 import { chunkEvent, completionOf, type Handler } from '../fixtures/testEndpoint.js'
 import { until } from '../fixtures/until.js'
 
-/** Runs every call it reads; answers those that are not held. */
+/** A service that runs every call it receives and delays the responses to held keys until they are released. */
 class BookingService {
   readonly executions = new Map<string, number>()
   private readonly _held = new Set<string>()
@@ -70,7 +70,7 @@
   }
 })
 
-test.serial('should refuse new work without a quorum of control, finish what runs, and recover', async t => {
+test.serial('should refuse new work without a control quorum, finish running requests, and recover', async t => {
   const processes = await EntryProcesses.start(3, 1)
   const booking = new BookingService()
   let release = false
@@ -107,7 +107,7 @@
   }
 })
 
-test.serial('should cut nothing and end with 0 when it is stopped under load', async t => {
+test.serial('should abort no request and exit with code 0 when it is stopped under load', async t => {
   const processes = await EntryProcesses.start(1, 2)
   const booking = new BookingService()
   try {
--- a/tests/entry/unrepeatable.test.ts
+++ b/tests/entry/unrepeatable.test.ts
@@ -1,6 +1,6 @@
 /**
- * Unrepeatable calls: run at most once, truthful about whether they ran, and
- * answered alike through every host.
+ * Unrepeatable calls: they run at most once, reports on whether they ran are
+ * true, and every host gives the same answer.
  */
 import test, { type ExecutionContext } from 'ava'
 import { request } from 'undici'
@@ -17,7 +17,7 @@
   cluster: EntryCluster
   host: TestHost
   other: TestHost
-  /** Calls that the service ran. */
+  /** Path and body of the calls that the service ran. */
   executions: string[]
   service: TestEndpoint
 }
@@ -28,7 +28,7 @@
   replayed: boolean
 }
 
-/** A service that runs each call it reads, then answers as told. */
+/** Starts two hosts and a service that responds through `answer` and records the calls it runs. */
 async function withService (answer: Handler, run: (setting: Fixture) => Promise<void>, limits: Partial<EntryLimits> = {}): Promise<void> {
   const cluster = new EntryCluster()
   const [host, other] = [await cluster.start('ubungo', limits), await cluster.start('ubungo', limits)]
@@ -38,7 +38,7 @@
     if (response.statusCode !== 503) executions.push(`${request.url} ${body.toString()}`)
   }).start(host, other)
   try {
-    // A host that starts waits for others that may know endpoints; longer leases make that longer.
+    // A starting host waits up to a third of the endpoint lease for records of its peers.
     if (limits.endpointLeaseMs !== undefined) cluster.clock.jump(limits.endpointLeaseMs / 3)
     await Promise.all([host.ready(), other.ready()])
     await run({ cluster, host, other, executions, service })
@@ -94,7 +94,7 @@
   })
 })
 
-test('should answer "unknown" and never run again when the connection dies after the request', async t => {
+test('should answer "unknown" and never run again when the connection is lost after the request', async t => {
   const dying: Handler = request => { request.socket.destroy() }
   await withService(dying, async ({ host, other, executions }) => {
     isRefusal(t, await post(host, 'k1'), 'answer_lost', 'unknown')
@@ -103,7 +103,7 @@
   })
 })
 
-test('should answer "unknown" for half an answer and for one under another id', async t => {
+test('should answer "unknown" for a truncated response and for one with another id', async t => {
   let half = true
   const broken: Handler = (request, response) => {
     if (!half) {
@@ -123,7 +123,7 @@
   })
 })
 
-test('should give an answer that came late to whoever asks again', async t => {
+test('should return a late response to a resend of its key', async t => {
   let release = (): void => {}
   const held = new Promise<void>(resolve => { release = resolve })
   const late: Handler = async (_request, response) => {
@@ -144,7 +144,7 @@
   }, lasting)
 })
 
-test('should run and record a call to its end when its caller hangs up', async t => {
+test('should finish and record a call when its caller disconnects', async t => {
   let release = (): void => {}
   const held = new Promise<void>(resolve => { release = resolve })
   const late: Handler = async (_request, response) => {
@@ -184,7 +184,7 @@
   }, { endpointLeaseMs: 600_000 })
 })
 
-test('should not run a call that waited while another try of its key was refused as not run', async t => {
+test('should not run a call that waited while another attempt of its key was refused as not run', async t => {
   await withService(recorded, async ({ cluster, host, executions }) => {
     const key = { callerName: 'depot', idempotencyKey: 'k1' }
     const first = cluster.ledger.stateOf(key.callerName, key.idempotencyKey)
@@ -204,7 +204,7 @@
   })
 })
 
-test('should bar a try that still waits when another try of its key is told "not run"', async t => {
+test('should supersede a waiting attempt when another attempt of its key is refused as not run', async t => {
   let release = (): void => {}
   const held = new Promise<void>(resolve => { release = resolve })
   const slow: Handler = async (_request, response, body) => {
@@ -240,7 +240,7 @@
   })
 })
 
-test('should reach no byte of an endpoint that is gone, and say so', async t => {
+test('should report "not run" when the endpoint is unreachable', async t => {
   await withService(recorded, async ({ host, executions, service }) => {
     await service.kill()
     const refused = await post(host, 'k1', 'drum 7', { 'x-deadline-ms': '2000' })
