--- a/tests/entry/unrepeatable.test.ts
+++ b/tests/entry/unrepeatable.test.ts
@@ -153,12 +153,12 @@
   }
   await withService(late, async ({ host, other, executions, service }) => {
     const controller = new AbortController()
-    const gone = request(`${host.url}/v1/services/booking/returns/7`, {
+    const aborted = request(`${host.url}/v1/services/booking/returns/7`, {
       method: 'POST', body: 'drum 7', headers: { 'idempotency-key': 'k1', 'x-caller': 'depot' }, signal: controller.signal
     }).catch(() => {})
     await until(() => service.receivedCount === 1)
     controller.abort()
-    await gone
+    await aborted
     release()
     t.like(await post(other, 'k1'), { text: 'recorded', replayed: true })
     t.is(executions.length, 1)
