--- a/src/entry/advice/adviceRoute.ts
+++ b/src/entry/advice/adviceRoute.ts
@@ -1,31 +1,32 @@
 /**
- * Advice to callers: which entry hosts to use, and for how long the answer may
- * be kept. Hosts of the caller's data centre come first; within a data centre
- * the less busy ones come first more often, so that callers spread.
+ * Advice to callers: which entry hosts to use, and how long the advice may be
+ * cached. Hosts of the caller's data centre come first. Within a data centre
+ * the order is random and weighted towards hosts with fewer requests in flight,
+ * so that callers are spread.
  */
 import { callerPaths, type Advice } from '../../protocol/callers.js'
 import type { RandomSource } from '../../utils/randomSource.js'
 import type { HostState, HostStates } from '../directory/hostStates.js'
-import type { Answers } from '../http/answers.js'
+import type { ResponseWriter } from '../http/answers.js'
 import type { Exchange, Route } from '../http/route.js'
 
 const NEAR_HOSTS_COUNT = 3
 const FAR_HOSTS_COUNT = 2
 
-export interface AdviceParts {
+export interface AdviceRouteOptions {
   dataCentre: string
   hosts: HostStates
   random: RandomSource
-  answers: Answers
+  responseWriter: ResponseWriter
   adviceValidMs: number
   revision: () => number
 }
 
 export class AdviceRoute {
-  private readonly _parts: AdviceParts
+  private readonly _options: AdviceRouteOptions
 
-  constructor (parts: AdviceParts) {
-    this._parts = parts
+  constructor (options: AdviceRouteOptions) {
+    this._options = options
   }
 
   route (): Route {
@@ -39,7 +40,7 @@
   }
 
   advise (callerDataCentre: string | undefined): Advice {
-    const { dataCentre, hosts, adviceValidMs, revision } = this._parts
+    const { dataCentre, hosts, adviceValidMs, revision } = this._options
     const serving = hosts.serving()
     const near = serving.filter(host => host.dataCentre === (callerDataCentre ?? dataCentre))
     const far = serving.filter(host => !near.includes(host))
@@ -50,12 +51,12 @@
   private _handle (exchange: Exchange): void {
     const advice = this.advise(exchange.query.get('dataCentre') ?? undefined)
     const headers = { 'cache-control': `max-age=${Math.floor(advice.validForMs / 1000)}` }
-    this._parts.answers.json(exchange, 200, advice, headers)
+    this._options.responseWriter.json(exchange, 200, advice, headers)
   }
 
-  /** Draws hosts without putting them back, each with a chance that falls with its load. */
+  /** Weighted random sampling without replacement: the probability of a host falls with its load. */
   private _spread (hosts: HostState[], count: number): HostState[] {
-    const keyed = hosts.map(host => ({ host, key: this._parts.random.real() ** (1 + host.inFlightCount) }))
+    const keyed = hosts.map(host => ({ host, key: this._options.random.real() ** (1 + host.inFlightCount) }))
     keyed.sort((a, b) => b.key - a.key)
     return keyed.slice(0, count).map(({ host }) => host)
   }
--- a/src/entry/completions/completionRoute.ts
+++ b/src/entry/completions/completionRoute.ts
@@ -1,6 +1,6 @@
 /**
- * POST /v1/completions: a completion for a caller, whole or as a stream of
- * server-sent events.
+ * POST /v1/completions: runs a completion for a caller and returns it as one
+ * JSON response or as a stream of server-sent events.
  */
 import { z } from 'zod'
 import type { ConfigurationView } from '../../controlClient/controlClient.js'
@@ -9,26 +9,26 @@
 import { Executed, RefusalReason, type Refusal } from '../../protocol/refusals.js'
 import { EndpointKind, ResourceKind } from '../../protocol/resources.js'
 import { callerOf } from '../http/callerIdentity.js'
-import type { Answers } from '../http/answers.js'
+import type { ResponseWriter } from '../http/answers.js'
 import { parseJson, readBody } from '../http/requestBody.js'
 import type { Exchange, Route } from '../http/route.js'
 import type { CompletionOutcome, CompletionTask } from './completionRunner.js'
 import type { EngineCompletions } from './engineCompletions.js'
 
-export interface CompletionRouteParts {
+export interface CompletionRouteOptions {
   completions: EngineCompletions
   configuration: ConfigurationView
-  answers: Answers
+  responseWriter: ResponseWriter
   maxBodyBytes: number
 }
 
 type TaskOutcome = { kind: 'task', task: CompletionTask, request: CompletionRequest } | { kind: 'refused', refusal: Refusal }
 
 export class CompletionRoute {
-  private readonly _parts: CompletionRouteParts
+  private readonly _options: CompletionRouteOptions
 
-  constructor (parts: CompletionRouteParts) {
-    this._parts = parts
+  constructor (options: CompletionRouteOptions) {
+    this._options = options
   }
 
   route (): Route {
@@ -42,18 +42,18 @@
   }
 
   private async _handle (exchange: Exchange): Promise<void> {
-    const { answers, maxBodyBytes } = this._parts
+    const { responseWriter, maxBodyBytes } = this._options
     const read = await readBody(exchange, maxBodyBytes)
-    if (read.kind === 'refused') return answers.refuse(exchange, read.refusal)
+    if (read.kind === 'refused') return responseWriter.refuse(exchange, read.refusal)
     const made = this._task(exchange, read.body)
-    if (made.kind === 'refused') return answers.refuse(exchange, made.refusal)
+    if (made.kind === 'refused') return responseWriter.refuse(exchange, made.refusal)
     if (made.request.stream) return await this._stream(exchange, made.task)
-    const outcome = await this._parts.completions.runChunks(made.task, exchange.progress, () => true)
-    this._answerWhole(exchange, made.task, outcome)
+    const outcome = await this._options.completions.runChunks(made.task, exchange.progress, () => true)
+    this._sendComplete(exchange, made.task, outcome)
   }
 
-  private _answerWhole (exchange: Exchange, { model }: CompletionTask, outcome: CompletionOutcome): void {
-    if (outcome.kind === 'refused') return this._parts.answers.refuse(exchange, outcome.refusal)
+  private _sendComplete (exchange: Exchange, { model }: CompletionTask, outcome: CompletionOutcome): void {
+    if (outcome.kind === 'refused') return this._options.responseWriter.refuse(exchange, outcome.refusal)
     const { tokens, versions } = outcome.completion
     const answer: CompletionAnswer = {
       id: exchange.requestId,
@@ -63,27 +63,27 @@
       finish_reason: outcome.finishReason,
       versions
     }
-    this._parts.answers.json(exchange, 200, answer)
+    this._options.responseWriter.json(exchange, 200, answer)
   }
 
   private async _stream (exchange: Exchange, task: CompletionTask): Promise<void> {
-    const { completions, answers } = this._parts
+    const { completions, responseWriter } = this._options
     const { response, progress } = exchange
     let finishSent = false
     const outcome = await completions.runChunks(task, progress, async chunks => {
-      if (!response.headersSent) this._beginStream(exchange)
+      if (!response.headersSent) this._startStream(exchange)
       finishSent ||= chunks.at(-1)?.finish_reason != null
-      return await answers.write(response, eventsOf(exchange, chunks), progress) === 'written'
+      return await responseWriter.write(response, eventsOf(exchange, chunks), progress) === 'written'
     })
-    if (outcome.kind === 'refused') return answers.refuse(exchange, outcome.refusal)
-    if (!response.headersSent) this._beginStream(exchange)
+    if (outcome.kind === 'refused') return responseWriter.refuse(exchange, outcome.refusal)
+    if (!response.headersSent) this._startStream(exchange)
     const last = finishSent ? '' : finishEvent(exchange, outcome)
     response.end(`${last}data: [DONE]\n\n`)
   }
 
-  private _beginStream (exchange: Exchange): void {
+  private _startStream (exchange: Exchange): void {
     exchange.response.writeHead(200, {
-      ...this._parts.answers.headers(exchange),
+      ...this._options.responseWriter.headers(exchange),
       'content-type': 'text/event-stream',
       'cache-control': 'no-store'
     })
@@ -94,8 +94,8 @@
     if (!parsed.success) return refusedTask(RefusalReason.MalformedRequest, z.prettifyError(parsed.error))
     const request = parsed.data
     const pool = this._poolOf(request.model)
-    if (pool === undefined) return refusedTask(RefusalReason.UnknownPool, `no pool of engines serves the model ${request.model}`)
-    const caller = callerOf(exchange, this._parts.configuration)
+    if (pool === undefined) return refusedTask(RefusalReason.UnknownPool, `no engine pool serves the model ${request.model}`)
+    const caller = callerOf(exchange, this._options.configuration)
     if (caller.kind === 'refused') return caller
     const task: CompletionTask = {
       item: {
@@ -118,9 +118,9 @@
     return { kind: 'task', task, request }
   }
 
-  /** A pool is asked for by the model that its engines load, or by its own name. */
+  /** Returns the engine pool with that name, or else the first one whose engines load that model. */
   private _poolOf (model: string): string | undefined {
-    const { configuration } = this._parts
+    const { configuration } = this._options
     const named = configuration.get(ResourceKind.EndpointPool, model)
     if (named?.spec.endpointKind === EndpointKind.Engine) return named.name
     const pools = configuration.list(ResourceKind.EndpointPool)
@@ -132,7 +132,7 @@
   return { kind: 'refused', refusal: { reason, executed: Executed.No, message } }
 }
 
-/** The chunks are this try's own, so their id can be changed in place. */
+/** Serializes chunks as events. Nothing else uses the chunks, so their id is replaced in place. */
 function eventsOf ({ requestId }: Exchange, chunks: CompletionChunk[]): string {
   let events = ''
   for (const chunk of chunks) {
@@ -142,7 +142,7 @@
   return events
 }
 
-/** Says that the answer is whole, when no engine came to say so. */
+/** Returns the final event of a complete answer for which no engine sent a finish reason. */
 function finishEvent ({ requestId }: Exchange, outcome: CompletionOutcome): string {
   if (outcome.kind !== 'complete') return ''
   const last = outcome.completion.versions.at(-1)
--- a/src/entry/completions/engineStream.ts
+++ b/src/entry/completions/engineStream.ts
@@ -1,7 +1,8 @@
 /**
- * One try of a completion at one engine: the request goes out, chunks come
- * back as server-sent events. The reader pulls, so a slow caller slows the
- * engine's stream down instead of filling memory.
+ * One attempt of a completion at one engine: sends the request and reads the
+ * chunks of the response, which arrive as server-sent events. Reading is
+ * pull-based, so a slow caller applies back pressure to the engine instead of
+ * filling the memory of this host.
  */
 import { createParser } from 'eventsource-parser'
 import type { Dispatcher } from 'undici'
@@ -11,35 +12,35 @@
 import type { Progress } from '../../utils/progress.js'
 import { AbortEmitter } from '../http/abortEmitter.js'
 
-const DONE_MARK = '[DONE]'
+const DONE_MARKER = '[DONE]'
 const TOO_MANY_REQUESTS = 429
 const SERVICE_UNAVAILABLE = 503
 const OK = 200
 const BAD_REQUEST = 400
 const INTERNAL_ERROR = 500
 const MAX_ERROR_TEXT_BYTES = 512
-/** How long an engine may take to end its stream behind the end mark. */
-const END_OF_STREAM_MS = 1_000
+/** How long an engine may take to end its stream after the end marker. */
+const END_OF_STREAM_TIMEOUT_MS = 1_000
 
-/** How a try ended; the chunks went to the sink before. */
-export type TryOutcome =
-  /** The engine said that the stream is over, or the sink wants no more. */
+/** How an attempt ended; its chunks have already been passed to the sink. */
+export type AttemptOutcome =
+  /** The engine sent the end marker, or the sink ended the attempt. */
   | { kind: 'ended', isComplete: boolean }
   | { kind: 'failed', reason: RetryReason, message: string }
-  /** The engine finds the request itself wrong; another would too. */
+  /** The engine rejected the request as invalid; other engines would reject it too. */
   | { kind: 'rejected', status: number, message: string }
   | { kind: 'deadlinePassed' }
 
-export enum Reading {
-  GoOn = 'goOn',
-  /** The answer is whole. */
+export enum ReadDecision {
+  Continue = 'goOn',
+  /** The answer is complete. */
   Complete = 'complete',
-  /** Nobody wants the rest. */
+  /** The rest of the answer is not needed. */
   Stop = 'stop'
 }
 
-/** Takes the chunks that came together. */
-export type ChunkSink = (chunks: CompletionChunk[]) => Promise<Reading> | Reading
+/** Receives the chunks that arrived together and decides whether to read on. */
+export type ChunkSink = (chunks: CompletionChunk[]) => Promise<ReadDecision> | ReadDecision
 
 export interface EngineCall {
   url: string
@@ -48,10 +49,10 @@
 }
 
 /**
- * Runs the try. The request is aborted when the scope closes, the deadline
- * passes, or the sink wants no more.
+ * Runs the attempt. The request is aborted when the scope closes, the deadline
+ * passes, or the sink returns `ReadDecision.Stop`.
  */
-export async function streamFromEngine (dispatcher: Dispatcher, call: EngineCall, progress: Progress, sink: ChunkSink): Promise<TryOutcome> {
+export async function streamFromEngine (dispatcher: Dispatcher, call: EngineCall, progress: Progress, sink: ChunkSink): Promise<AttemptOutcome> {
   const abort = new AbortEmitter(progress.scope)
   let isComplete = false
   try {
@@ -71,20 +72,20 @@
   }
 }
 
-/** Reads what may still come behind the end mark, so that the connection can be used again. */
+/** Reads the rest of the response after the answer is complete, so that the connection can be reused. */
 function releaseConnection (iterator: AsyncIterator<Buffer>, abort: AbortEmitter, clock: Clock): void {
   abort.detach()
-  const cancel = clock.callAt(clock.nowMs() + END_OF_STREAM_MS, () => abort.abort())
-  const readOn = async (): Promise<void> => {
+  const cancel = clock.callAt(clock.nowMs() + END_OF_STREAM_TIMEOUT_MS, () => abort.abort())
+  const readToEnd = async (): Promise<void> => {
     while (!(await iterator.next()).done);
   }
-  readOn().catch(() => {}).finally(() => {
+  readToEnd().catch(() => {}).finally(() => {
     cancel()
     abort.release()
   })
 }
 
-async function request (dispatcher: Dispatcher, { url, body, engineSilenceMs }: EngineCall, signal: AbortEmitter): Promise<Dispatcher.ResponseData | TryOutcome> {
+async function request (dispatcher: Dispatcher, { url, body, engineSilenceMs }: EngineCall, signal: AbortEmitter): Promise<Dispatcher.ResponseData | AttemptOutcome> {
   const { origin, pathname } = new URL(url)
   try {
     return await dispatcher.request({
@@ -102,13 +103,13 @@
   }
 }
 
-/** Whether the connection never opened, so that nothing can have run. */
+/** Whether the connection could not be opened, so that the endpoint cannot have run the request. */
 export function isConnectFailure (error: unknown): boolean {
   const { code, syscall } = error as NodeJS.ErrnoException
   return code === 'UND_ERR_CONNECT_TIMEOUT' || syscall === 'connect'
 }
 
-async function failureOf (status: number, body: Dispatcher.ResponseData['body']): Promise<TryOutcome> {
+async function failureOf (status: number, body: Dispatcher.ResponseData['body']): Promise<AttemptOutcome> {
   const text = await body.text().catch(() => '')
   const message = `status ${status}: ${text.slice(0, MAX_ERROR_TEXT_BYTES)}`
   if (status === TOO_MANY_REQUESTS || status === SERVICE_UNAVAILABLE) return { kind: 'failed', reason: RetryReason.EndpointRefused, message }
@@ -116,28 +117,28 @@
   return { kind: 'failed', reason: RetryReason.EndpointError, message }
 }
 
-async function readEvents (iterator: AsyncIterator<Buffer>, progress: Progress, sink: ChunkSink): Promise<TryOutcome> {
+async function readEvents (iterator: AsyncIterator<Buffer>, progress: Progress, sink: ChunkSink): Promise<AttemptOutcome> {
   const decoder = new TextDecoder()
   const events: string[] = []
   const parser = createParser({ onEvent: ({ data }) => events.push(data) })
   for (;;) {
-    const next = await progress.race(nextOf(iterator))
+    const next = await progress.race(readNext(iterator))
     if (next.kind === 'deadlinePassed') return { kind: 'deadlinePassed' }
     if ('kind' in next.value) return next.value
-    if (next.value.done) return { kind: 'failed', reason: RetryReason.ConnectionLost, message: 'the stream ended without its end mark' }
+    if (next.value.done) return { kind: 'failed', reason: RetryReason.ConnectionLost, message: 'the stream ended without its end marker' }
     parser.feed(decoder.decode(next.value.value, { stream: true }))
-    const read = chunksOf(events.splice(0))
-    const reading = read.chunks.length > 0 ? await sink(read.chunks) : Reading.GoOn
-    if (reading !== Reading.GoOn) return { kind: 'ended', isComplete: reading === Reading.Complete }
-    if (read.end) return read.end
+    const parsed = chunksOf(events.splice(0))
+    const decision = parsed.chunks.length > 0 ? await sink(parsed.chunks) : ReadDecision.Continue
+    if (decision !== ReadDecision.Continue) return { kind: 'ended', isComplete: decision === ReadDecision.Complete }
+    if (parsed.end) return parsed.end
   }
 }
 
-/** The chunks up to the end mark, or up to what is none. */
-function chunksOf (events: string[]): { chunks: CompletionChunk[], end?: TryOutcome } {
+/** Parses events up to the end marker or up to the first malformed chunk. */
+function chunksOf (events: string[]): { chunks: CompletionChunk[], end?: AttemptOutcome } {
   const chunks: CompletionChunk[] = []
   for (const data of events) {
-    if (data === DONE_MARK) return { chunks, end: { kind: 'ended', isComplete: true } }
+    if (data === DONE_MARKER) return { chunks, end: { kind: 'ended', isComplete: true } }
     const chunk = parseChunk(data)
     if (!chunk) {
       const message = `malformed chunk: ${data.slice(0, MAX_ERROR_TEXT_BYTES)}`
@@ -148,7 +149,7 @@
   return { chunks }
 }
 
-async function nextOf (iterator: AsyncIterator<Buffer>): Promise<IteratorResult<Buffer> | TryOutcome> {
+async function readNext (iterator: AsyncIterator<Buffer>): Promise<IteratorResult<Buffer> | AttemptOutcome> {
   try {
     return await iterator.next()
   } catch (error) {
--- a/src/entry/directory/recordStore.ts
+++ b/src/entry/directory/recordStore.ts
@@ -1,7 +1,7 @@
 /**
- * Versioned records under leases. The newer version always wins, whichever way
- * and in whatever order it comes; what has expired stays known by its version
- * for a while, so that a late copy does not bring it back.
+ * Versioned records with leases. The newer version wins, whatever the order of
+ * arrival. An expired record leaves a tombstone with its version for a while,
+ * so that a delayed copy does not restore it.
  */
 import type { Clock } from '../../utils/clock.js'
 import { eventStream } from '../../utils/eventStream.js'
@@ -10,7 +10,7 @@
 import { hash32 } from './rendezvous.js'
 
 export const BUCKETS_COUNT = 64
-const TOMBSTONE_MS = 120_000
+const TOMBSTONE_RETENTION_MS = 120_000
 
 export interface StoredRecord {
   readonly record: FullRecord
@@ -29,7 +29,7 @@
   forgetAtMs: number
 }
 
-/** What came of a record that arrived. */
+/** What a received record changed. */
 export type PutOutcome = 'content' | 'load' | 'stale'
 export type LoadOutcome = 'load' | 'stale' | 'contentMissing'
 
@@ -55,10 +55,10 @@
   put (record: FullRecord): PutOutcome {
     const key = keyOf(record.kind, record.id)
     const before = this._records.get(key)
-    if (!isNewer(record, before?.record ?? this._tombstones.get(key))) return this._drainBy(key, before, record)
+    if (!isNewer(record, before?.record ?? this._tombstones.get(key))) return this._applyDrain(key, before, record)
     const nowMs = this._clock.nowMs()
     if (record.leaseRemainingMs <= 0) return 'stale'
-    const kept = keepDrained(record, before?.record)
+    const kept = preserveDrained(record, before?.record)
     const stored = { record: kept, loadAtMs: nowMs - record.loadAgeMs, leaseEndsAtMs: nowMs + record.leaseRemainingMs }
     this._records.set(key, stored)
     this._tombstones.delete(key)
@@ -69,18 +69,18 @@
     return kind
   }
 
-  /** An older record may still bring the news that an operator drained the endpoint. */
-  private _drainBy (key: string, before: StoredRecord | undefined, record: FullRecord): PutOutcome {
-    const isNews = before?.record.kind === RecordKind.Endpoint && isDrained(record) &&
+  /** Applies the drained flag of an older record: an operator may have drained the endpoint through another host. */
+  private _applyDrain (key: string, before: StoredRecord | undefined, record: FullRecord): PutOutcome {
+    const isFirstDrain = before?.record.kind === RecordKind.Endpoint && isDrained(record) &&
       before.record.incarnation === record.incarnation && !before.record.drained
-    if (!isNews) return 'stale'
+    if (!isFirstDrain) return 'stale'
     const stored = { ...before, record: { ...before.record, drained: true } }
     this._records.set(key, stored as StoredRecord)
     this._changes.emit({ kind: 'content', stored: stored as StoredRecord })
     return 'content'
   }
 
-  /** Takes over load and lease if the content is known already. */
+  /** Updates load and lease if the content of the record is already stored. */
   putLoad (entry: LoadRecord): LoadOutcome {
     const [kind, id, incarnation, sequence, contentSequence, leaseRemainingMs, loadAgeMs, load] = entry
     const key = keyOf(kind, id)
@@ -93,13 +93,13 @@
     return 'load'
   }
 
-  /** Removes what has expired. */
+  /** Removes expired records and tombstones. */
   expire (): void {
     const nowMs = this._clock.nowMs()
     for (const [key, { record, leaseEndsAtMs }] of this._records) {
       if (leaseEndsAtMs > nowMs) continue
       this._records.delete(key)
-      this._tombstones.set(key, { incarnation: record.incarnation, sequence: record.sequence, forgetAtMs: nowMs + TOMBSTONE_MS })
+      this._tombstones.set(key, { incarnation: record.incarnation, sequence: record.sequence, forgetAtMs: nowMs + TOMBSTONE_RETENTION_MS })
       this._changes.emit({ kind: 'removed', record })
     }
     for (const [key, { forgetAtMs }] of this._tombstones) {
@@ -107,7 +107,7 @@
     }
   }
 
-  /** The record with the times that remain now, to be sent. */
+  /** Returns a record for sending, with its lease and load age as of now. */
   export (key: RecordKey): FullRecord | undefined {
     const stored = this.get(key[0], key[1])
     return stored && this.exportStored(stored)
@@ -118,7 +118,7 @@
     return { ...record, leaseRemainingMs: Math.round(leaseEndsAtMs - nowMs), loadAgeMs: Math.round(nowMs - loadAtMs) }
   }
 
-  /** One hash for each bucket of records; hosts that know the same content have the same. */
+  /** Returns one hash per bucket of records; hosts with the same content have the same hashes. */
   bucketHashes (): number[] {
     const hashes = new Array<number>(BUCKETS_COUNT).fill(0)
     for (const [key, { record }] of this._records) {
@@ -129,7 +129,7 @@
     return hashes
   }
 
-  /** Versions of the records in some buckets. */
+  /** Returns the versions of the records in the given buckets. */
   versionsIn (buckets: number[]): VersionEntry[] {
     const wanted = new Set(buckets)
     const versions: VersionEntry[] = []
@@ -139,18 +139,18 @@
     return versions
   }
 
-  /** Versions of the records whose lease ends soon. */
+  /** Returns the versions of the records whose lease ends within `withinMs`. */
   versionsExpiringWithin (withinMs: number): VersionEntry[] {
     const untilMs = this._clock.nowMs() + withinMs
     return this.all().filter(({ leaseEndsAtMs }) => leaseEndsAtMs < untilMs).map(({ record }) => versionOf(record))
   }
 
-  /** Whether a version says more than what is held here. */
-  lacks ([kind, id, incarnation, sequence, drained]: VersionEntry): boolean {
+  /** Whether a version is newer than the stored record, or has a drained flag that the stored record lacks. */
+  isOutdatedBy ([kind, id, incarnation, sequence, drained]: VersionEntry): boolean {
     const key = keyOf(kind, id)
-    const held = this._records.get(key)?.record
-    if (held?.incarnation === incarnation && drained && !isDrained(held)) return true
-    return isNewer({ incarnation, sequence }, held ?? this._tombstones.get(key))
+    const current = this._records.get(key)?.record
+    if (current?.incarnation === incarnation && drained && !isDrained(current)) return true
+    return isNewer({ incarnation, sequence }, current ?? this._tombstones.get(key))
   }
 }
 
@@ -174,7 +174,7 @@
   return record.kind === RecordKind.Endpoint && record.drained
 }
 
-function keepDrained (record: FullRecord, before: FullRecord | undefined): FullRecord {
+function preserveDrained (record: FullRecord, before: FullRecord | undefined): FullRecord {
   if (record.kind !== RecordKind.Endpoint || before?.incarnation !== record.incarnation || !isDrained(before)) return record
   return { ...record, drained: true }
 }
@@ -183,8 +183,8 @@
   return hash32(key) % BUCKETS_COUNT
 }
 
-function isNewer (candidate: { incarnation: number, sequence: number }, than: { incarnation: number, sequence: number } | undefined): boolean {
-  if (!than) return true
-  if (candidate.incarnation !== than.incarnation) return candidate.incarnation > than.incarnation
-  return candidate.sequence > than.sequence
+function isNewer (candidate: { incarnation: number, sequence: number }, current: { incarnation: number, sequence: number } | undefined): boolean {
+  if (!current) return true
+  if (candidate.incarnation !== current.incarnation) return candidate.incarnation > current.incarnation
+  return candidate.sequence > current.sequence
 }
--- a/src/entry/http/httpServer.ts
+++ b/src/entry/http/httpServer.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP server of an entry host: node:http with limits on heads, bodies,
- * connections and time, and a table of routes. Every request gets a scope that
- * closes when its caller goes, and a deadline.
+ * The HTTP server of an entry host: node:http with limits on header size,
+ * connections and time, and a table of routes. Every request gets a deadline
+ * and a scope that closes when the caller disconnects.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { Duplex } from 'node:stream'
@@ -17,47 +17,47 @@
 import { parseAddress } from '../../utils/settings.js'
 import type { FatalHandler } from '../../utils/supervisor.js'
 import type { EntryLimits } from '../entrySettings.js'
-import type { Answers } from './answers.js'
+import type { ResponseWriter } from './answers.js'
 import type { RequestJournal } from './requestJournal.js'
 import { ANY_METHOD, type Exchange, type Route } from './route.js'
 
 const KEEP_ALIVE_MS = 30_000
 const MAX_HEADERS_COUNT = 200
-const HEAD_CHECK_INTERVAL_MS = 1_000
+const CONNECTIONS_CHECK_INTERVAL_MS = 1_000
 const MAX_REQUEST_ID_LENGTH = 128
 
 const HEAD_OVERFLOW_CODE = 'HPE_HEADER_OVERFLOW'
 const REQUEST_TIMEOUT_CODE = 'ERR_HTTP_REQUEST_TIMEOUT'
 
-export interface HttpServerParts {
+export interface HttpServerOptions {
   scope: Scope
   clock: Clock
   random: RandomSource
   metrics: Metrics
-  answers: Answers
+  responseWriter: ResponseWriter
   journal: RequestJournal
   limits: EntryLimits
   routes: Route[]
-  /** Why new work is refused now, if it is. */
+  /** Returns the refusal for new work on a route, or undefined if it is accepted. */
   refusalOf: (route: Route) => Refusal | undefined
-  /** Waits for what has just put a refusal in doubt. */
-  settle: (scope: Scope) => Promise<void>
+  /** Waits until the configuration lease is certain again after a suspension of the machine. */
+  settleLease: (scope: Scope) => Promise<void>
   onFatal: FatalHandler
 }
 
 export class HttpServer {
-  private readonly _parts: HttpServerParts
+  private readonly _options: HttpServerOptions
   private readonly _server: Server
   private _inFlightCount = 0
 
-  constructor (parts: HttpServerParts) {
-    this._parts = parts
-    const { limits } = parts
+  constructor (options: HttpServerOptions) {
+    this._options = options
+    const { limits } = options
     this._server = createServer({
       maxHeaderSize: limits.maxHeadBytes,
       headersTimeout: limits.headTimeoutMs,
       requestTimeout: limits.maxDeadlineMs,
-      connectionsCheckingInterval: HEAD_CHECK_INTERVAL_MS,
+      connectionsCheckingInterval: CONNECTIONS_CHECK_INTERVAL_MS,
       keepAliveTimeout: KEEP_ALIVE_MS,
       noDelay: true
     })
@@ -67,19 +67,19 @@
     this._server.on('clientError', (error: NodeJS.ErrnoException, socket) => answerClientError(error, socket))
   }
 
-  /** Requests whose answer has not ended. */
+  /** Number of requests whose response has not ended. */
   get inFlightCount (): number {
     return this._inFlightCount
   }
 
-  /** @returns the address that it is bound to */
+  /** @returns the bound address, `host:port` */
   async listen (address: string): Promise<string> {
     const { host, port } = parseAddress(address)
     await new Promise<void>((resolve, reject) => {
       this._server.once('error', reject)
       this._server.listen(port, host, resolve)
     })
-    this._parts.scope.onClose(() => {
+    this._options.scope.onClose(() => {
       this._server.close()
       this._server.closeAllConnections()
     })
@@ -89,19 +89,19 @@
 
   private _onRequest (request: IncomingMessage, response: ServerResponse): void {
     this._serve(request, response).catch(error => {
-      if (!(error instanceof ScopeClosedError)) this._parts.onFatal('http', error)
+      if (!(error instanceof ScopeClosedError)) this._options.onFatal('http', error)
     })
   }
 
   private async _serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const { clock, metrics, answers, journal } = this._parts
+    const { clock, metrics, responseWriter, journal } = this._options
     const exchange = this._exchange(request, response)
     if (!exchange) {
       response.destroy()
       return
     }
-    const route = this._find(request.method ?? 'GET', exchange.path)
-    if (!route) return answers.json(exchange, 404, { message: `nothing is served at ${request.method} ${exchange.path}` })
+    const route = this._findRoute(request.method ?? 'GET', exchange.path)
+    if (!route) return responseWriter.json(exchange, 404, { message: `no route for ${request.method} ${exchange.path}` })
     const startedAtMs = clock.nowMs()
     metrics.count(MetricName.RequestReceived, { route: route.name })
     journal.add(exchange.requestId, route.name, clock.wallMs(), exchange.progress)
@@ -109,17 +109,17 @@
       metrics.count(MetricName.RequestAnswered, { route: route.name })
       metrics.timing(MetricName.RequestDurationMs, clock.nowMs() - startedAtMs, { route: route.name })
     })
-    const malformed = this._badDeadline(request)
-    if (malformed) return answers.refuse(exchange, malformed)
-    if (this._parts.refusalOf(route)) await this._parts.settle(exchange.progress.scope)
-    const refusal = this._parts.refusalOf(route)
+    const malformed = this._deadlineRefusal(request)
+    if (malformed) return responseWriter.refuse(exchange, malformed)
+    if (this._options.refusalOf(route)) await this._options.settleLease(exchange.progress.scope)
+    const refusal = this._options.refusalOf(route)
     if (!refusal) return await route.handle(exchange)
-    if (route.refuseNew) return await route.refuseNew(exchange, refusal)
-    answers.refuse(exchange, refusal)
+    if (route.refuseNewWork) return await route.refuseNewWork(exchange, refusal)
+    responseWriter.refuse(exchange, refusal)
   }
 
   private _exchange (request: IncomingMessage, response: ServerResponse): Exchange | undefined {
-    const { scope: serverScope, clock, random, limits } = this._parts
+    const { scope: serverScope, clock, random, limits } = this._options
     if (serverScope.isClosed) return undefined
     const url = request.url ?? '/'
     const queryStart = url.indexOf('?')
@@ -129,14 +129,14 @@
     this._inFlightCount++
     response.once('close', () => {
       this._inFlightCount--
-      scope.close(response.writableFinished ? 'answer ended' : 'the caller hung up')
+      scope.close(response.writableFinished ? 'response ended' : 'the caller disconnected')
     })
     const waitMs = Math.min(deadlineOf(request) ?? limits.defaultDeadlineMs, limits.maxDeadlineMs)
     const progress = new Progress(clock, scope, clock.nowMs() + waitMs)
     return { requestId: requestIdOf(request) ?? random.id(), request, response, progress, path, query }
   }
 
-  private _badDeadline (request: IncomingMessage): Refusal | undefined {
+  private _deadlineRefusal (request: IncomingMessage): Refusal | undefined {
     const deadlineMs = deadlineOf(request)
     if (deadlineMs === undefined || deadlineMs > 0) return undefined
     return {
@@ -146,8 +146,8 @@
     }
   }
 
-  private _find (method: string, path: string): Route | undefined {
-    return this._parts.routes.find(route => {
+  private _findRoute (method: string, path: string): Route | undefined {
+    return this._options.routes.find(route => {
       const methodFits = route.method === ANY_METHOD || route.method === method
       return methodFits && path.startsWith(route.pathPrefix)
     })
@@ -166,7 +166,7 @@
   return typeof given === 'string' && given.length > 0 && given.length <= MAX_REQUEST_ID_LENGTH ? given : undefined
 }
 
-/** Answers what never became a request. */
+/** Responds to input that could not be parsed as a request. */
 function answerClientError (error: NodeJS.ErrnoException, socket: Duplex): void {
   if (error.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy()
--- a/src/entry/services/serviceRoute.ts
+++ b/src/entry/services/serviceRoute.ts
@@ -1,14 +1,14 @@
 /**
- * /v1/services/{pool}/{path}: calls to plain services, passed on as they are.
- * A call to a path that the pool declares unrepeatable, or one that carries an
- * Idempotency-Key, runs at most once.
+ * /v1/services/{pool}/{path}: forwards calls to plain services unchanged. A
+ * call that changes state runs at most once if it carries an Idempotency-Key;
+ * on paths that the pool declares unrepeatable, the key is required.
  */
 import type { ConfigurationView } from '../../controlClient/controlClient.js'
 import { CallerHeader, callerPaths } from '../../protocol/callers.js'
 import { Executed, RefusalReason, type Refusal } from '../../protocol/refusals.js'
 import { EndpointKind, ResourceKind, type EndpointPoolSpec } from '../../protocol/resources.js'
 import type { RandomSource } from '../../utils/randomSource.js'
-import type { Answers } from '../http/answers.js'
+import type { ResponseWriter } from '../http/answers.js'
 import { ANONYMOUS_CALLER, callerOf } from '../http/callerIdentity.js'
 import { readBody } from '../http/requestBody.js'
 import { ANY_METHOD, type Exchange, type Route } from '../http/route.js'
@@ -18,11 +18,11 @@
 
 const MAX_KEY_LENGTH = 200
 
-export interface ServiceRouteParts {
-  plain: PlainCalls
+export interface ServiceRouteOptions {
+  plainCalls: PlainCalls
   unrepeatable: UnrepeatableCalls
   configuration: ConfigurationView
-  answers: Answers
+  responseWriter: ResponseWriter
   random: RandomSource
   maxBodyBytes: number
 }
@@ -36,10 +36,10 @@
 type KeyOutcome = { kind: 'key', key: UnrepeatableKey } | { kind: 'none' } | { kind: 'refused', refusal: Refusal }
 
 export class ServiceRoute {
-  private readonly _parts: ServiceRouteParts
+  private readonly _options: ServiceRouteOptions
 
-  constructor (parts: ServiceRouteParts) {
-    this._parts = parts
+  constructor (options: ServiceRouteOptions) {
+    this._options = options
   }
 
   route (): Route {
@@ -49,16 +49,16 @@
       pathPrefix: callerPaths.services,
       servedWithoutLease: false,
       handle: exchange => this._handle(exchange),
-      refuseNew: (exchange, refusal) => this._refuseNew(exchange, refusal)
+      refuseNewWork: (exchange, refusal) => this._refuseNewWork(exchange, refusal)
     }
   }
 
   private async _handle (exchange: Exchange): Promise<void> {
-    const { answers, plain, maxBodyBytes, configuration } = this._parts
+    const { responseWriter, plainCalls, maxBodyBytes, configuration } = this._options
     const target = this._target(exchange)
-    if (!target) return answers.refuse(exchange, refusal(RefusalReason.UnknownPool, `no pool of services at ${exchange.path}`))
+    if (!target) return responseWriter.refuse(exchange, refusal(RefusalReason.UnknownPool, `no service pool serves ${exchange.path}`))
     const key = this._key(exchange, target)
-    if (key.kind === 'refused') return answers.refuse(exchange, key.refusal)
+    if (key.kind === 'refused') return responseWriter.refuse(exchange, key.refusal)
     const caller = callerOf(exchange, configuration)
     if (caller.kind === 'refused') return await this._refuse(exchange, key, caller.refusal)
     const read = await readBody(exchange, maxBodyBytes)
@@ -79,37 +79,37 @@
       headers: request.headers,
       body: read.body
     }
-    if (key.kind === 'none') return await plain.run(exchange, call)
-    this._answer(exchange, await this._parts.unrepeatable.run(key.key, call, exchange.requestId, exchange.progress))
+    if (key.kind === 'none') return await plainCalls.run(exchange, call)
+    this._respond(exchange, await this._options.unrepeatable.run(key.key, call, exchange.requestId, exchange.progress))
   }
 
-  /** Refuses what this host may not take now; "not run" must hold for the whole key. */
-  private async _refuseNew (exchange: Exchange, given: Refusal): Promise<void> {
+  /** Refuses a call that this host may not accept now; a reported "not run" must hold for every attempt of the key. */
+  private async _refuseNewWork (exchange: Exchange, given: Refusal): Promise<void> {
     const target = this._target(exchange)
     const key = target ? this._key(exchange, target) : { kind: 'none' as const }
     await this._refuse(exchange, key, given)
   }
 
   private async _refuse (exchange: Exchange, key: KeyOutcome, given: Refusal): Promise<void> {
-    if (key.kind !== 'key') return this._parts.answers.refuse(exchange, given)
-    this._answer(exchange, await this._parts.unrepeatable.giveUp(key.key, this._parts.random.id(), given))
+    if (key.kind !== 'key') return this._options.responseWriter.refuse(exchange, given)
+    this._respond(exchange, await this._options.unrepeatable.releaseAndRefuse(key.key, this._options.random.id(), given))
   }
 
-  private _answer (exchange: Exchange, outcome: UnrepeatableOutcome): void {
-    const { answers } = this._parts
-    if (outcome.kind === 'refused') return answers.refuse(exchange, { callLog: [...exchange.progress.callLog], ...outcome.refusal })
+  private _respond (exchange: Exchange, outcome: UnrepeatableOutcome): void {
+    const { responseWriter } = this._options
+    if (outcome.kind === 'refused') return responseWriter.refuse(exchange, { callLog: [...exchange.progress.callLog], ...outcome.refusal })
     const { status, contentType, body } = outcome.answer
     const headers: Record<string, string> = {}
     if (contentType !== undefined) headers['content-type'] = contentType
     if (outcome.replayed) headers[CallerHeader.Replayed] = 'true'
-    answers.text(exchange, status, body, headers)
+    responseWriter.text(exchange, status, body, headers)
   }
 
   private _target ({ path, request }: Exchange): Target | undefined {
     const rest = path.slice(callerPaths.services.length)
     const slash = rest.indexOf('/')
     const pool = slash < 0 ? rest : rest.slice(0, slash)
-    const spec = this._parts.configuration.get(ResourceKind.EndpointPool, pool)?.spec
+    const spec = this._options.configuration.get(ResourceKind.EndpointPool, pool)?.spec
     if (spec?.endpointKind !== EndpointKind.Service) return undefined
     const url = request.url ?? ''
     const queryStart = url.indexOf('?')
@@ -124,10 +124,10 @@
     const isDeclared = spec.unrepeatablePaths.some(prefix => path.startsWith(prefix))
     if (given === undefined || given === '') {
       if (!isDeclared) return { kind: 'none' }
-      return { kind: 'refused', refusal: refusal(RefusalReason.IdempotencyKeyRequired, `${method} ${path} may run at most once: send ${CallerHeader.IdempotencyKey}`) }
+      return { kind: 'refused', refusal: refusal(RefusalReason.IdempotencyKeyRequired, `${method} ${path} may run at most once and requires the header ${CallerHeader.IdempotencyKey}`) }
     }
     if (typeof given !== 'string' || given.length > MAX_KEY_LENGTH) {
-      return { kind: 'refused', refusal: refusal(RefusalReason.MalformedRequest, `${CallerHeader.IdempotencyKey} is one value of at most ${MAX_KEY_LENGTH} characters`) }
+      return { kind: 'refused', refusal: refusal(RefusalReason.MalformedRequest, `${CallerHeader.IdempotencyKey} must be a single value of at most ${MAX_KEY_LENGTH} characters`) }
     }
     const callerName = request.headers[CallerHeader.CallerName]
     return { kind: 'key', key: { callerName: typeof callerName === 'string' ? callerName : ANONYMOUS_CALLER, idempotencyKey: given } }
--- a/src/entry/services/unrepeatableDispatch.ts
+++ b/src/entry/services/unrepeatableDispatch.ts
@@ -1,6 +1,6 @@
 /**
- * One try of an unrepeatable call at one endpoint, and what can be said for
- * certain afterwards.
+ * Sends an unrepeatable call to one endpoint and classifies the outcome: the
+ * response, certainly not run, or possibly run.
  */
 import type { Dispatcher } from 'undici'
 import { RefusalReason, RetryReason } from '../../protocol/refusals.js'
@@ -12,17 +12,17 @@
 
 export type EndpointOutcome =
   | { kind: 'answered', answer: RecordedAnswer }
-  /** Certainly not run. */
+  /** The endpoint certainly did not run the call. */
   | { kind: 'notRun', reason: RefusalReason, retryReason: RetryReason, message: string }
-  /** It may have run. */
+  /** The endpoint may have run the call. */
   | { kind: 'lost', message: string }
 
-export interface DispatchedTry {
+export interface DispatchedAttempt {
   attemptId: string
   call: ServiceCall
-  /** The caller's: when it is over before the first byte, the call is not sent. */
+  /** Progress of the caller's request; if it ends before the first byte is written, the call is not sent. */
   progress: Progress
-  /** Set before the first byte leaves, and taken back when the call certainly did not run. */
+  /** Set before the first byte is written, and cleared when the call certainly did not run. */
   isAtEndpoint: boolean
 }
 
@@ -31,7 +31,7 @@
   maxBodyBytes: number
 }
 
-export async function runAtEndpoint (attempt: DispatchedTry, assignment: Assignment, limits: DispatchLimits, progress: Progress): Promise<EndpointOutcome> {
+export async function runAtEndpoint (attempt: DispatchedAttempt, assignment: Assignment, limits: DispatchLimits, progress: Progress): Promise<EndpointOutcome> {
   const { attemptId, call, progress: callerProgress } = attempt
   const { endpointId, url } = assignment.endpoint.announcement
   const startedAtMs = progress.clock.nowMs()
@@ -48,36 +48,36 @@
   }
   let result: AttemptResult = { kind: 'cancelled' }
   try {
-    const outcome = await callOnce(url, request, { connectTimeoutMs: limits.connectTimeoutMs, maxAnswerBytes: limits.maxBodyBytes }, progress, maySend)
-    const judged = judge(outcome, attemptId)
-    if (judged.kind === 'notRun') attempt.isAtEndpoint = false
-    result = resultOf(outcome, judged, progress.clock.nowMs() - startedAtMs)
-    if (judged.kind !== 'answered') callerProgress.log(`${endpointId}: ${judged.message}`)
-    return judged
+    const outcome = await callOnce(url, request, { connectTimeoutMs: limits.connectTimeoutMs, maxResponseBytes: limits.maxBodyBytes }, progress, maySend)
+    const endpointOutcome = toEndpointOutcome(outcome, attemptId)
+    if (endpointOutcome.kind === 'notRun') attempt.isAtEndpoint = false
+    result = attemptResultOf(outcome, endpointOutcome, progress.clock.nowMs() - startedAtMs)
+    if (endpointOutcome.kind !== 'answered') callerProgress.log(`${endpointId}: ${endpointOutcome.message}`)
+    return endpointOutcome
   } finally {
     assignment.finish(result)
   }
 }
 
-function judge (outcome: OneShotOutcome, attemptId: string): EndpointOutcome {
+function toEndpointOutcome (outcome: OneShotOutcome, attemptId: string): EndpointOutcome {
   switch (outcome.kind) {
     case 'notSent':
-      return { kind: 'notRun', reason: RefusalReason.EndpointFailed, retryReason: RetryReason.ConnectFailed, message: `no byte was sent: ${outcome.message}` }
+      return { kind: 'notRun', reason: RefusalReason.EndpointFailed, retryReason: RetryReason.ConnectFailed, message: `no byte of the request was sent: ${outcome.message}` }
     case 'lost':
       return { kind: 'lost', message: `the connection was lost after the request was sent: ${outcome.message}` }
     case 'answered': {
       const { status, headers, body } = outcome
-      if (echoOf(headers, attemptId) === Echo.Other) return { kind: 'lost', message: 'the endpoint answered under the id of another request' }
+      if (echoOf(headers, attemptId) === Echo.Other) return { kind: 'lost', message: 'the endpoint responded with the id of another request' }
       if (isNotExecuted(status, headers)) {
-        return { kind: 'notRun', reason: RefusalReason.EndpointRefused, retryReason: RetryReason.EndpointRefused, message: 'the endpoint says that it did not run the call' }
+        return { kind: 'notRun', reason: RefusalReason.EndpointRefused, retryReason: RetryReason.EndpointRefused, message: 'the endpoint reported that it did not run the call' }
       }
       return { kind: 'answered', answer: { status, contentType: headers['content-type'], body: Uint8Array.from(body), bodyDropped: false } }
     }
   }
 }
 
-function resultOf (outcome: OneShotOutcome, judged: EndpointOutcome, durationMs: number): AttemptResult {
-  if (judged.kind === 'answered') return { kind: 'succeeded', tokensCount: 1, durationMs }
-  if (judged.kind === 'notRun' && judged.retryReason === RetryReason.EndpointRefused) return { kind: 'refused' }
-  return outcome.kind === 'notSent' && outcome.message === 'no longer wanted' ? { kind: 'cancelled' } : { kind: 'failed' }
+function attemptResultOf (outcome: OneShotOutcome, endpointOutcome: EndpointOutcome, durationMs: number): AttemptResult {
+  if (endpointOutcome.kind === 'answered') return { kind: 'succeeded', tokensCount: 1, durationMs }
+  if (endpointOutcome.kind === 'notRun' && endpointOutcome.retryReason === RetryReason.EndpointRefused) return { kind: 'refused' }
+  return outcome.kind === 'notSent' && outcome.message === 'the caller no longer waits for the response' ? { kind: 'cancelled' } : { kind: 'failed' }
 }
--- a/src/entry/startEntry.ts
+++ b/src/entry/startEntry.ts
@@ -1,6 +1,6 @@
 /**
- * Starts an entry host in this process, with the real clock, network and
- * control hosts.
+ * Starts an entry host in this process with the system clock, TCP and the
+ * control hosts named in the settings.
  */
 import { NetworkControlClient } from '../controlClient/networkControlClient.js'
 import { TcpTransport } from '../transport/tcpTransport.js'
@@ -14,16 +14,16 @@
 import { EntryProgram } from './entryProgram.js'
 import type { EntrySettings } from './entrySettings.js'
 
-export interface StartEntryParts {
+export interface StartEntryOptions {
   logger: Logger
   metrics: Metrics
-  /** Called once when the process can no longer be trusted. */
+  /** Called on an error after which the process must not continue. */
   onFatal: (error: unknown) => void
-  /** Called when a planned stop, however it was asked for, has ended. */
+  /** Called when a planned stop, whoever requested it, has ended. */
   onStopped: () => void
 }
 
-export async function startEntry (settings: EntrySettings, { logger, metrics, onFatal, onStopped }: StartEntryParts): Promise<EntryProgram> {
+export async function startEntry (settings: EntrySettings, { logger, metrics, onFatal, onStopped }: StartEntryOptions): Promise<EntryProgram> {
   const supervisor = new Supervisor(new Scope('entry'), (_task, error) => onFatal(error))
   const random = systemRandom()
   const transport = new TcpTransport(parseAddress(settings.host.peerAddress).host)
@@ -48,7 +48,7 @@
     logger,
     supervisor,
     control,
-    leaveControl: progress => control.leave(progress),
+    deregister: progress => control.leave(progress),
     incarnation,
     onStopped
   })
