--- a/tests/control/client.test.ts
+++ b/tests/control/client.test.ts
@@ -50,7 +50,7 @@
   t.is(fence?.kind, 'committed')
 })
 
-test('should take no lease while no quorum confirms the leader, and get it back', async t => {
+test('should hold no lease while no quorum confirms the leader, and regain it afterwards', async t => {
   const control = new ControlProcesses(12, 3)
   const scope = new Scope('test')
   t.teardown(async () => {
@@ -70,7 +70,7 @@
   t.pass()
 })
 
-test('should give a restarted host no lease before it has all of 500 changes, and take the older start its lease', async t => {
+test('should give a restarted host no lease before it has all of 500 changes, and end the lease of its earlier incarnation', async t => {
   const control = new ControlProcesses(20, 3)
   const scope = new Scope('test')
   t.teardown(async () => {
@@ -94,7 +94,7 @@
   await until(async () => second.holdsLease() || undefined, 'the second start to keep renewing')
 })
 
-test('should leave a host that is cut off in silence without a lease while the rest goes on', async t => {
+test('should end the lease of a host whose connections fail silently while other hosts continue', async t => {
   const control = new ControlProcesses(21, 3)
   const scope = new Scope('test')
   t.teardown(async () => {
@@ -103,17 +103,17 @@
   })
   control.startAll()
   const transport = new CuttableTransport(new TcpTransport())
-  const cut = startClient(scope, control, 'entry-1', 1, transport)
+  const disconnected = startClient(scope, control, 'entry-1', 1, transport)
   const other = startClient(scope, control, 'entry-2')
-  await until(async () => (cut.holdsLease() && other.holdsLease()) || undefined, 'leases')
+  await until(async () => (disconnected.holdsLease() && other.holdsLease()) || undefined, 'leases')
   transport.isCut = true
   const answer = await control.putUntilAnswered('unseen', 'gold', 5)
-  await control.untilStatus(({ entryHosts }) => entryHosts.some(host => host.hostId === 'entry-1' && !host.holdsLease), 'the cut host named')
-  // What control takes for ended has ended at the host: its lease began before the renewal arrived.
-  t.false(cut.holdsLease())
-  t.is(cut.configuration.get(ResourceKind.PriorityClass, 'gold'), undefined)
+  await control.untilStatus(({ entryHosts }) => entryHosts.some(host => host.hostId === 'entry-1' && !host.holdsLease), 'the disconnected host to be shown without a lease')
+  // A lease that the control hosts consider ended has also ended on the host, whose lease started before the renewal arrived.
+  t.false(disconnected.holdsLease())
+  t.is(disconnected.configuration.get(ResourceKind.PriorityClass, 'gold'), undefined)
   t.true(other.configuration.revision >= answer.body.revision)
   transport.isCut = false
-  await until(async () => cut.holdsLease() || undefined, 'a lease again')
-  t.is(cut.configuration.get(ResourceKind.PriorityClass, 'gold')?.spec.paidWeight, 5)
+  await until(async () => disconnected.holdsLease() || undefined, 'a lease again')
+  t.is(disconnected.configuration.get(ResourceKind.PriorityClass, 'gold')?.spec.paidWeight, 5)
 })
--- a/tests/control/configurationLease.test.ts
+++ b/tests/control/configurationLease.test.ts
@@ -19,7 +19,7 @@
   const lease = new ConfigurationLease({
     clock,
     metrics: memoryMetrics(),
-    link: { call, giveUp: () => {} } as unknown as LeaderLink,
+    link: { call, dropLeader: () => {} } as unknown as LeaderLink,
     configuration: new FollowedConfiguration(),
     host: { hostId: 'entry-1', dataCentre: 'hal', callerAddress: '10.0.0.1:1', peerAddress: '10.0.0.1:2', incarnation: 1 },
     operatorAddress: undefined,
--- a/tests/control/elections.test.ts
+++ b/tests/control/elections.test.ts
@@ -2,7 +2,7 @@
 import { defaultTimings } from '../../src/replication/log/timings.js'
 import { ReplicaCluster } from '../fixtures/replicaCluster.js'
 
-/** The cluster looks for its leader this often, and a round of votes takes some messages and syncs. */
+/** Polling interval of the cluster fixture; it also covers the messages and disk syncs of one round of votes. */
 const STEP_MS = 100
 
 test('should form a cluster of three and elect one leader', async t => {
--- a/tests/control/failures.test.ts
+++ b/tests/control/failures.test.ts
@@ -1,5 +1,5 @@
 /**
- * One test for each protection of the log that random runs seldom need.
+ * One test for each safety rule of the log that random runs seldom exercise.
  */
 import test from 'ava'
 import { ReadMode } from '../../src/replication/log/replica.js'
@@ -16,8 +16,8 @@
   return host.running.replica
 }
 
-function progressOf (cluster: ReplicaCluster, patienceMs = 5_000): Progress {
-  return new Progress(cluster.clock, new Scope('client'), cluster.clock.nowMs() + patienceMs)
+function progressOf (cluster: ReplicaCluster, timeoutMs = 5_000): Progress {
+  return new Progress(cluster.clock, new Scope('client'), cluster.clock.nowMs() + timeoutMs)
 }
 
 function change (changeId: string, note = ''): ResourceCommand {
@@ -50,7 +50,7 @@
   })
 }
 
-test('should not disturb a leader that a quorum follows when one replica cannot hear it', async t => {
+test('should not disturb a leader that a quorum follows when one replica cannot reach it', async t => {
   const { cluster, leader, others } = await startThree(2)
   cluster.network.cut(leader.ip, others[0]?.ip ?? '')
   await cluster.clock.advance(20_000)
@@ -131,13 +131,13 @@
 test('should not count an entry of an earlier term as committed by its copies alone', async t => {
   const { cluster, leader: first, others: [second, third] } = await startThree(8)
   if (!second || !third) return t.fail()
-  // An entry of the first leader's term that nobody else has; it fills a message of its own.
+  // An entry of the first leader's term that no other replica has. It is large enough to need a message of its own.
   for (const other of [second, third]) cluster.network.cut(first.ip, other.ip)
   replicaOf(first).propose(change('lone', 'x'.repeat(1_200_000)), progressOf(cluster)).catch(() => {})
   await cluster.clock.advance(10)
   const index = replicaOf(first).core.state.log.lastIndex
   cluster.crash(first)
-  // Another leader has an entry of a later term at the same place, which nobody else has either.
+  // Another leader has an entry of a later term at the same index, which no other replica has either.
   let successor: ClusterHost | undefined
   while (!successor) {
     await cluster.clock.advance(1)
@@ -148,7 +148,7 @@
   await cluster.clock.advance(20)
   t.is(replicaOf(successor).core.state.log.lastIndex, index)
   cluster.crash(successor)
-  // The first leads again and copies its old entry, but dies before one of its own term follows.
+  // The first leads again and replicates its old entry, but crashes before an entry of its new term follows.
   cluster.network.heal()
   await cluster.start(first)
   await cluster.start(voter)
@@ -165,7 +165,7 @@
   t.deepEqual(cluster.violations, [])
 })
 
-test('should wait out a full disk, and confirm nothing on the strength of it', async t => {
+test('should wait until a full disk has room, and not count its copy towards a quorum', async t => {
   const { cluster, leader, others } = await startThree(9)
   leader.disk.isFull = true
   t.is((await write(cluster, leader, change('by the others'))).kind, 'committed')
@@ -183,7 +183,7 @@
   t.deepEqual(cluster.violations, [])
 })
 
-test('should wait out a full disk while a snapshot of the leader arrives, and install it once there is room', async t => {
+test('should wait on a full disk while a snapshot of the leader arrives, and install it once there is room', async t => {
   const { cluster, leader, others } = await startThree(11)
   const behind = others[0] as ClusterHost
   for (const other of cluster.hosts) if (other !== behind) cluster.network.cut(behind.ip, other.ip)
@@ -200,7 +200,7 @@
   t.deepEqual(cluster.stopped, [])
 })
 
-test('should not form a second cluster when the first host comes back empty and hears nobody', async t => {
+test('should not form a second cluster when the first host restarts with an empty disk and reaches no other host', async t => {
   const { cluster } = await startThree(10)
   const wiped = cluster.host(0)
   for (const other of cluster.hosts.slice(1)) cluster.network.cut(wiped.ip, other.ip)
--- a/tests/control/handover.test.ts
+++ b/tests/control/handover.test.ts
@@ -5,7 +5,7 @@
 import { ReplicaCluster, type ClusterHost } from '../fixtures/replicaCluster.js'
 
 const HANDOVER_MS = 800
-/** A few messages and syncs. */
+/** Time for a few messages and disk syncs. */
 const SOON_MS = 60
 
 function progressOf (cluster: ReplicaCluster, withinMs = HANDOVER_MS): Progress {
@@ -24,7 +24,7 @@
   return cluster.leading().find(host => host !== than)
 }
 
-/** Puts the host that is to lag first. */
+/** Orders the hosts so that the one that will lag comes first. */
 function orderOf (hosts: ClusterHost[], lagging: number): [ClusterHost, ClusterHost] {
   const [first, second] = hosts as [ClusterHost, ClusterHost]
   return lagging === 0 ? [first, second] : [second, first]
@@ -32,10 +32,10 @@
 
 test('should let another replica lead at once when the leader hands over, long before an election timeout', async t => {
   const { cluster, leader } = await startedCluster(1)
-  const beganAtMs = cluster.clock.nowMs()
+  const startedAtMs = cluster.clock.nowMs()
   await cluster.clock.advanceUntil(leader.running?.replica.handOver(progressOf(cluster)) ?? Promise.resolve())
   await cluster.until(() => otherLeader(cluster, leader) !== undefined, 'another one leads')
-  t.true(cluster.clock.nowMs() - beganAtMs <= SOON_MS, `it took ${cluster.clock.nowMs() - beganAtMs} ms`)
+  t.true(cluster.clock.nowMs() - startedAtMs <= SOON_MS, `it took ${cluster.clock.nowMs() - startedAtMs} ms`)
   t.true(SOON_MS < defaultTimings.electionMinMs)
   t.is(leader.running?.replica.leadership, undefined)
   t.deepEqual(cluster.violations, [])
@@ -44,18 +44,18 @@
 test('should hand over to the replica that holds the whole log, not to one that lags', async t => {
   for (const lagging of [0, 1]) {
     const { cluster, leader } = await startedCluster(2)
-    const [behind, whole] = orderOf(cluster.hosts.filter(host => host !== leader), lagging)
+    const [behind, upToDate] = orderOf(cluster.hosts.filter(host => host !== leader), lagging)
     behind.disk.syncMs = 5 * SOON_MS
-    const beganAtMs = cluster.clock.nowMs()
+    const startedAtMs = cluster.clock.nowMs()
     leader.running?.replica.propose({}, progressOf(cluster)).catch(() => {})
     await cluster.clock.advanceUntil(leader.running?.replica.handOver(progressOf(cluster)) ?? Promise.resolve())
     await cluster.until(() => otherLeader(cluster, leader) !== undefined, 'another one leads')
-    t.is(otherLeader(cluster, leader), whole)
-    t.true(cluster.clock.nowMs() - beganAtMs <= SOON_MS)
+    t.is(otherLeader(cluster, leader), upToDate)
+    t.true(cluster.clock.nowMs() - startedAtMs <= SOON_MS)
   }
 })
 
-test('should take no proposal while it hands over, and say that nothing came of it', async t => {
+test('should refuse proposals during a handover, and report them as not committed', async t => {
   const { cluster, leader } = await startedCluster(3)
   const replica = leader.running?.replica
   if (!replica) return t.fail('no replica')
@@ -65,12 +65,12 @@
   await cluster.clock.advanceUntil(handingOver)
 })
 
-test('should give up handing over, and go on to stop, when no other replica answers', async t => {
+test('should abandon the handover, and continue to stop, when no other replica answers', async t => {
   const { cluster, leader } = await startedCluster(4)
   for (const host of cluster.hosts) if (host !== leader) cluster.crash(host)
-  const beganAtMs = cluster.clock.nowMs()
+  const startedAtMs = cluster.clock.nowMs()
   await cluster.clock.advanceUntil(leader.running?.replica.handOver(progressOf(cluster)) ?? Promise.resolve())
-  t.true(cluster.clock.nowMs() - beganAtMs <= HANDOVER_MS)
+  t.true(cluster.clock.nowMs() - startedAtMs <= HANDOVER_MS)
   t.deepEqual(cluster.violations, [])
 })
 
@@ -85,14 +85,14 @@
   t.deepEqual(cluster.violations, [])
 })
 
-test('should go on leading when nobody could take over and the process goes on', async t => {
+test('should continue to lead when no replica could take over and the process keeps running', async t => {
   const { cluster, leader } = await startedCluster(6)
   for (const host of cluster.hosts) if (host !== leader) cluster.network.cut(leader.ip, host.ip)
   leader.running?.replica.propose({}, progressOf(cluster)).catch(() => {})
   await cluster.clock.advanceUntil(leader.running?.replica.handOver(progressOf(cluster, SOON_MS)) ?? Promise.resolve())
   t.truthy(leader.running?.replica.leadership)
   cluster.network.heal()
-  // What was under way when the network was cut is given up after the time-out of a call.
+  // Calls that were in progress when the network was cut fail after the call timeout.
   const outcome = leader.running?.replica.propose({}, progressOf(cluster, 2 * defaultTimings.callTimeoutMs))
   t.is((await cluster.clock.advanceUntil(outcome ?? Promise.resolve({ kind: 'none' }))).kind, 'committed')
 })
--- a/tests/control/leaderCalls.test.ts
+++ b/tests/control/leaderCalls.test.ts
@@ -6,7 +6,7 @@
 import { Scope } from '../../src/utils/scope.js'
 import { ReplicaCluster, type ClusterHost } from '../fixtures/replicaCluster.js'
 
-const PATIENCE_MS = 850
+const CALL_TIMEOUT_MS = 850
 const command: RoutingCommand = { kind: RoutingCommandKind.NameWeights, model: 'm', version: 2 }
 
 async function startThree () {
@@ -21,17 +21,17 @@
   const { running, clock } = host
   if (!running) throw new Error(`${host.hostId} is not running`)
   const calls = new LeaderCalls(new ControlNode(running.replica, running.state, clock))
-  return { calls, progress: () => new Progress(cluster.clock, new Scope('caller'), cluster.clock.nowMs() + PATIENCE_MS) }
+  return { calls, progress: () => new Progress(cluster.clock, new Scope('caller'), cluster.clock.nowMs() + CALL_TIMEOUT_MS) }
 }
 
 test('should answer an operator at a follower within the second after which callers move on, also while the leader is frozen', async t => {
   const { cluster, leader, follower } = await startThree()
   const { calls, progress } = callsAt(cluster, follower)
   cluster.freeze(leader)
-  const beganAtMs = cluster.clock.nowMs()
+  const startedAtMs = cluster.clock.nowMs()
   const reply = await cluster.clock.advanceUntil(calls.submit(command, progress()))
   t.not(reply.kind, 'committed')
-  t.true(cluster.clock.nowMs() - beganAtMs <= PATIENCE_MS + 50)
+  t.true(cluster.clock.nowMs() - startedAtMs <= CALL_TIMEOUT_MS + 50)
   const read = await cluster.clock.advanceUntil(calls.read(progress()))
   t.true(read.kind !== 'confirmed' || cluster.leading().some(host => host !== leader))
 })
--- a/tests/control/processes.test.ts
+++ b/tests/control/processes.test.ts
@@ -1,5 +1,5 @@
 /**
- * Failures of real control processes: killed, frozen, wiped, cut.
+ * Failures of real control processes: kills, freezes, wiped disks and damaged logs.
  */
 import test from 'ava'
 import { readdirSync, readFileSync, writeFileSync } from 'node:fs'
@@ -30,7 +30,7 @@
   control.freeze(frozen)
   const others = control.hosts.filter(host => host !== frozen)
   const successor = await control.untilLeader(others)
-  // Asked while it is frozen, to be heard at waking before it hears anybody else.
+  // Sent while the process is frozen, so that it receives these calls first when it resumes.
   const lateRead = control.call(frozen, 'GET', '/v1/resources/PriorityClass/gold', undefined, 30_000)
   const lateWrite = control.put(frozen, 'late', 'gold', 99, 1)
   const second = await until(async () => {
@@ -57,7 +57,7 @@
     control.put(second, 'operator-b', 'gold', 20, created.body.revision)
   ])
   t.deepEqual(race.map(answer => answer.status).sort(), [200, 409])
-  // Both send again after lost answers, elsewhere, and one with the leader just killed.
+  // Both operators resend after lost answers, to other hosts, while the leader has just been killed.
   await control.kill(await control.untilLeader())
   t.deepEqual(await control.putUntilAnswered('operator-a', 'gold', 10, created.body.revision), race[0])
   t.deepEqual(await control.putUntilAnswered('operator-b', 'gold', 20, created.body.revision), race[1])
@@ -85,7 +85,7 @@
   t.is((await control.putUntilAnswered('after', 'gold', 8)).status, 200)
 })
 
-test('should set a damaged log aside and be healed from the others', async t => {
+test('should set a damaged log aside and recover from the other hosts', async t => {
   const control = new ControlProcesses(16, 3)
   t.teardown(() => control.stop())
   control.startAll()
@@ -100,7 +100,7 @@
   bytes[200] = (bytes[200] ?? 0) ^ 0xff
   writeFileSync(file, bytes)
   control.start(damaged)
-  await until(async () => /is unreadable, but \d+ bytes had been synced/.test(damaged.log) || undefined, 'the clear error')
+  await until(async () => /is unreadable, but \d+ bytes had been synced/.test(damaged.log) || undefined, 'the error about the damaged log')
   await control.untilStatus(({ members }) => members.length === 3 && members.every(member => member.isLive && member.role === 'voter' && member.replicaId !== oldId), 'three voters again')
   t.is(await until(() => control.weightOf(damaged, 'gold'), 'a read'), 20)
 })
--- a/tests/control/quarantineCalls.test.ts
+++ b/tests/control/quarantineCalls.test.ts
@@ -23,7 +23,7 @@
   return routing
 }
 
-test('should list condemned requests, and let one go', async t => {
+test('should list condemned requests, and release one', async t => {
   const calls = callsOf(condemned())
   const listed = await calls.list(progress)
   t.like(listed, { kind: 'done', body: { requests: [{ digest: DIGEST, verdict: 'condemned' }] } })
@@ -31,7 +31,7 @@
   t.deepEqual(await calls.list(progress), { kind: 'done', body: { requests: [] } })
 })
 
-test('should say what is wrong with a digest, and when nobody leads', async t => {
+test('should report a malformed or unknown digest, and a missing leader', async t => {
   const calls = callsOf(condemned())
   t.is((await calls.lift('d', progress)).kind, 'malformedDigest')
   t.is((await calls.lift('e'.repeat(32), progress)).kind, 'unknownDigest')
--- a/tests/control/replicaReports.test.ts
+++ b/tests/control/replicaReports.test.ts
@@ -43,7 +43,7 @@
   }
 }
 
-test('should show log, members and lag at the leader, and not the lag elsewhere', async t => {
+test('should report log, members and lag at the leader, and no lag elsewhere', async t => {
   const { cluster, leader, others } = await startCluster()
   await cluster.clock.advance(1_000)
   const { log } = replicaOf(leader).core.state
@@ -62,7 +62,7 @@
   t.is(follower['members.largest_lag_entries'], -1)
 })
 
-test('should show how many voters answer, and how far the one that does not lags', async t => {
+test('should report how many voters answer, and the lag of the one that does not', async t => {
   const { cluster, leader, others } = await startCluster()
   const matchedIndex = replicaOf(leader).core.state.log.lastIndex
   await cluster.clock.advance(1_000)
@@ -74,7 +74,7 @@
   t.is(shown['members.largest_lag_entries'], replicaOf(leader).core.state.log.lastIndex - matchedIndex)
 })
 
-test('should tell once of a voter that falls silent and once that it answers, with how many are left', async t => {
+test('should log once that a voter is silent and once that it answers again, with the number of answering voters', async t => {
   const { cluster, leader, others } = await startCluster()
   const [away] = others as [ClusterHost]
   const watch = new VoterWatch(replicaOf(leader))
@@ -88,8 +88,8 @@
   t.deepEqual(eventsOf(cluster, ReplicationEvent.VoterSilent), [])
   cluster.crash(away)
   await reviewFor(4)
-  const [told, ...more] = eventsOf(cluster, ReplicationEvent.VoterSilent)
-  t.like(told, { hostId: away.hostId, answeringCount: 2, votersCount: 3, quorumCount: 2 })
+  const [logged, ...more] = eventsOf(cluster, ReplicationEvent.VoterSilent)
+  t.like(logged, { hostId: away.hostId, answeringCount: 2, votersCount: 3, quorumCount: 2 })
   t.deepEqual(more, [])
   await cluster.start(away)
   await reviewFor(4)
@@ -97,7 +97,7 @@
   t.is(eventsOf(cluster, ReplicationEvent.VoterAnswers).length, 1)
 })
 
-test('should show the size and the duration of snapshots, by where they came from', async t => {
+test('should report the size and duration of snapshots by source', async t => {
   const { cluster, leader, others } = await startCluster()
   const [away] = others as [ClusterHost]
   cluster.wipe(away)
@@ -117,7 +117,7 @@
   t.true((loaded?.snapshotBytesCount as number) > 0)
 })
 
-test('should tell what a start read, whom it counts, and when its own log was applied', async t => {
+test('should log what a start has read, the voters, and when its own log was applied', async t => {
   const { cluster, leader, others } = await startCluster()
   const [restarted] = others as [ClusterHost]
   await propose(cluster, leader, 3)
@@ -136,23 +136,23 @@
   t.true((applied?.sinceStartMs as number) >= (loaded?.sinceStartMs as number))
 })
 
-test('should tell every replica of each change of members, with the quorum', async t => {
+test('should log each change of members at every replica, with the quorum', async t => {
   const { cluster, leader, others } = await startCluster(5, 4)
-  const [gone, ...near] = others as [ClusterHost, ...ClusterHost[]]
-  cluster.crash(gone)
-  await cluster.until(() => near.every(host => replicaOf(host).core.members.length === 3), 'the silent one is struck everywhere')
-  const left = [leader, ...near].map(({ hostId }) => hostId).sort()
-  for (const { hostId } of [leader, ...near]) {
-    const told = eventsOf(cluster, ReplicationEvent.MembersKnown, hostId).at(-1)
-    t.deepEqual([...told?.voters as string[]].sort(), left, hostId)
-    t.like(told, { learners: [], quorumCount: 2, isVoter: true }, hostId)
+  const [crashed, ...running] = others as [ClusterHost, ...ClusterHost[]]
+  cluster.crash(crashed)
+  await cluster.until(() => running.every(host => replicaOf(host).core.members.length === 3), 'the silent voter is removed everywhere')
+  const remaining = [leader, ...running].map(({ hostId }) => hostId).sort()
+  for (const { hostId } of [leader, ...running]) {
+    const logged = eventsOf(cluster, ReplicationEvent.MembersKnown, hostId).at(-1)
+    t.deepEqual([...logged?.voters as string[]].sort(), remaining, hostId)
+    t.like(logged, { learners: [], quorumCount: 2, isVoter: true }, hostId)
   }
 })
 
-test('should tell of members that a leader cuts off again, or that come with its snapshot', t => {
+test('should report members when entries are truncated or a snapshot is installed', t => {
   const history = new MembershipHistory(0, [])
-  const told: number[] = []
-  history.watch(() => told.push(history.latestIndex))
+  const reportedIndexes: number[] = []
+  history.watch(() => reportedIndexes.push(history.latestIndex))
   const entry = (index: number): LogEntry => (
     { index, term: 1, kind: EntryKind.Membership, atMs: 0, payload: encodeMembership({ clusterId: 'c', members: [] }) }
   )
@@ -162,7 +162,7 @@
   history.truncateFrom(5)
   history.compactTo(3)
   history.reset(8, [])
-  t.deepEqual(told, [1, 5, 1, 8])
+  t.deepEqual(reportedIndexes, [1, 5, 1, 8])
 })
 
 test('should count the time of an arriving snapshot from its first piece', async t => {
@@ -175,7 +175,7 @@
   t.is(figures.noteInstalled(10), 500)
 })
 
-test('should tell at the leader why a replica is not taken in', async t => {
+test('should log at the leader why a replica is not admitted', async t => {
   const { cluster, leader, others } = await startCluster()
   const [running] = others as [ClusterHost]
   const newcomer = { replicaId: 'other-disk', hostId: running.hostId, peerAddress: running.address, operatorAddress: running.address }
@@ -188,24 +188,24 @@
   ])
 })
 
-test('should tell of a refused join again while it goes on, and of a busy leader only when it stays busy', async t => {
+test('should log a refused join again while it persists, and a busy leader only when it stays busy', async t => {
   const clock = new VirtualClock()
-  const told: LogFields[] = []
-  const logger: Logger = { event: (_number, fields = {}) => { told.push(fields) }, child: () => logger }
+  const logged: LogFields[] = []
+  const logger: Logger = { event: (_number, fields = {}) => { logged.push(fields) }, child: () => logger }
   const refusals = new JoinRefusals(clock, logger)
   const newcomer = { replicaId: 'r1', hostId: 'h1', peerAddress: 'h1:1', operatorAddress: 'h1:1' }
-  const askFor = async (seconds: number, outcome: Parameters<JoinRefusals['note']>[1]): Promise<void> => {
+  const joinFor = async (seconds: number, outcome: Parameters<JoinRefusals['note']>[1]): Promise<void> => {
     for (let asked = 0; asked < 4 * seconds; asked++) {
       refusals.note(newcomer, outcome, 9)
       await clock.advance(250)
     }
   }
-  await askFor(1, { kind: 'busy' })
-  await askFor(1, { kind: 'accepted' })
-  t.deepEqual(told, [])
-  await askFor(12, { kind: 'refused', reason: 'host h1 is running already' })
-  t.deepEqual(told.map(({ forMs }) => forMs), [0, 10_000])
-  await askFor(3, { kind: 'busy' })
-  t.like(told.at(-1), { reason: 'another change of members is open', forMs: 2_000 })
-  t.is(told.length, 3)
+  await joinFor(1, { kind: 'busy' })
+  await joinFor(1, { kind: 'accepted' })
+  t.deepEqual(logged, [])
+  await joinFor(12, { kind: 'refused', reason: 'host h1 is running already' })
+  t.deepEqual(logged.map(({ forMs }) => forMs), [0, 10_000])
+  await joinFor(3, { kind: 'busy' })
+  t.like(logged.at(-1), { reason: 'another change of members is open', forMs: 2_000 })
+  t.is(logged.length, 3)
 })
--- a/tests/control/resources.test.ts
+++ b/tests/control/resources.test.ts
@@ -36,7 +36,7 @@
   t.like(control.apply(apply('first', -1)), { kind: 'invalid', field: 'spec.paidWeight' })
 })
 
-test('should follow changes and hosts by one revision, and list again when the history is cut', t => {
+test('should follow changes and hosts by one revision, and list again when the history is truncated', t => {
   const control = new MemoryControl({ clock: systemClock })
   const host = { hostId: 'a', dataCentre: 'd', callerAddress: '127.0.0.1:1', peerAddress: '127.0.0.1:2', incarnation: 5 }
   const client = control.client(host)
@@ -51,7 +51,7 @@
   t.deepEqual(client.configuration.entryHosts(), [host])
 })
 
-test('should keep an older incarnation of a host out', t => {
+test('should reject an older incarnation of a host', t => {
   const control = new MemoryControl({ clock: systemClock })
   const host = { hostId: 'a', dataCentre: 'd', callerAddress: '127.0.0.1:1', peerAddress: '127.0.0.1:2', incarnation: 5 }
   control.apply({ kind: HostCommandKind.Register, host })
@@ -60,7 +60,7 @@
   t.is(control.apply({ kind: HostCommandKind.Remove, hostId: 'a', incarnation: 5 }).kind, 'removed')
 })
 
-test('should give growing fencing numbers, and the same one to the same holder', t => {
+test('should return increasing fencing numbers, and the same one to the same holder', t => {
   const control = new MemoryControl({ clock: systemClock })
   const acquire = (holder: string) => control.apply({ kind: HostCommandKind.AcquireFence, fenceScope: 'engine-1', holder })
   const first = acquire('a')
--- a/tests/control/routingState.test.ts
+++ b/tests/control/routingState.test.ts
@@ -27,7 +27,7 @@
   t.deepEqual(state.namedWeights(), [{ model: 'm', version: 3 }])
 })
 
-test('should decide the first members of the store once', t => {
+test('should choose the initial members of the store only once', t => {
   const state = new RoutingState()
   const form = (clusterId: string): RoutingCommand => (
     { kind: RoutingCommandKind.FormStore, group: { clusterId, initialReplicas: [{ replicaId: 'r', hostId: 'h', peerAddress: 'a' }] } }
@@ -37,7 +37,7 @@
   t.is(state.storeGroup?.clusterId, 'first')
 })
 
-test('should not begin a retirement anew that has ended', t => {
+test('should not restart a completed retirement', t => {
   const state = new RoutingState()
   const begin: RoutingCommand = { kind: RoutingCommandKind.BeginRetirement, hostName: 'store-1', hostId: 'h1' }
   state.apply(begin, NOW)
--- a/tests/control/storage.test.ts
+++ b/tests/control/storage.test.ts
@@ -21,7 +21,7 @@
   return await ReplicaStorage.open(await FileDisk.open(folder), 'control-1', () => `id-${readdirSync(folder).length}-${ids++}`)
 }
 
-/** A folder with ten entries, each synced by itself. */
+/** A folder with ten entries, each synced separately. */
 async function filledFolder (): Promise<{ folder: string, logFile: string }> {
   const folder = mkdtempSync(join(tmpdir(), 'threaddrum-storage-'))
   const { storage } = await open(folder)
@@ -37,7 +37,7 @@
   writeFileSync(file, bytes)
 }
 
-test('should read back what was synced, with the later entry where two have one place', async t => {
+test('should read back synced records, with the later entry where two have the same index', async t => {
   const { folder } = await filledFolder()
   const { storage } = await open(folder)
   await storage.append([record(8, 2)])
@@ -49,15 +49,15 @@
   rmSync(folder, { recursive: true })
 })
 
-test('should cut a torn tail and write on behind it', async t => {
+test('should truncate a torn tail and append after it', async t => {
   const { folder, logFile } = await filledFolder()
-  const wholeBytes = readFileSync(logFile).length
-  // A write that did not end: its sync was never reported.
+  const intactBytes = readFileSync(logFile).length
+  // An incomplete write, whose sync was never reported.
   writeFileSync(logFile, Buffer.concat([readFileSync(logFile), Buffer.alloc(70, 7)]))
   const { storage, loaded, damage } = await open(folder)
   t.is(damage, undefined)
   t.is(loaded.tornBytes, 70)
-  t.is(readFileSync(logFile).length, wholeBytes)
+  t.is(readFileSync(logFile).length, intactBytes)
   await storage.append([record(11)])
   await storage.close()
   t.is((await open(folder)).loaded.entries.length, 11)
@@ -80,17 +80,17 @@
   })
 }
 
-test('should not take a log for whole that lost synced bytes, its identity or its snapshot', async t => {
-  const cut = await filledFolder()
-  truncateSync(cut.logFile, readFileSync(cut.logFile).length - 150)
-  t.truthy((await open(cut.folder)).damage)
-  const nameless = await filledFolder()
-  rmSync(join(nameless.folder, 'replica'))
-  t.truthy((await open(nameless.folder)).damage)
-  const logless = await filledFolder()
-  rmSync(logless.logFile)
-  t.truthy((await open(logless.folder)).damage)
-  for (const { folder } of [cut, nameless, logless]) rmSync(folder, { recursive: true })
+test('should not accept a log that has lost synced bytes, its identity or its log file', async t => {
+  const truncated = await filledFolder()
+  truncateSync(truncated.logFile, readFileSync(truncated.logFile).length - 150)
+  t.truthy((await open(truncated.folder)).damage)
+  const withoutIdentity = await filledFolder()
+  rmSync(join(withoutIdentity.folder, 'replica'))
+  t.truthy((await open(withoutIdentity.folder)).damage)
+  const withoutLog = await filledFolder()
+  rmSync(withoutLog.logFile)
+  t.truthy((await open(withoutLog.folder)).damage)
+  for (const { folder } of [truncated, withoutIdentity, withoutLog]) rmSync(folder, { recursive: true })
 })
 
 test('should replace log and snapshot in one step, and notice a damaged snapshot', async t => {
--- a/tests/control/suspendedHost.test.ts
+++ b/tests/control/suspendedHost.test.ts
@@ -1,8 +1,8 @@
 /**
- * A machine that was suspended for seconds trusts nothing that it knew before.
- * Its steady clock has not counted the time, so a lease that others have waited
- * out long ago looks as if it had just been renewed; the time of day, which has
- * gone on, tells.
+ * A machine that resumes after a suspension must not rely on leases from before.
+ * Its monotonic clock does not advance while it is suspended, so a lease that has
+ * expired for all other hosts looks valid. The time of day does advance and reveals
+ * the suspension.
  */
 import test, { type ExecutionContext } from 'ava'
 import { defaultTimings } from '../../src/replication/log/timings.js'
@@ -47,11 +47,11 @@
   t.not(read.kind, 'confirmed')
 })
 
-test('should take no answer for new that was on its way while the machine was suspended', async t => {
+test('should not treat an answer as recent that was in transit while the machine was suspended', async t => {
   const { cluster, leader } = await start(t)
   const { leadership } = leader.running!.replica
   let wokenCount = 0
-  // A heartbeat is sent each 150 ms and answered after 2: somewhere in between the machine stands still.
+  // A heartbeat is sent every 150 ms and answered after 2 ms; the machine is suspended at every point in between.
   for (let stepMs = 0; stepMs < 150 && leadership?.holdsLease() === true; stepMs++) {
     await cluster.clock.advance(1)
     cluster.suspend(leader)
@@ -65,7 +65,7 @@
   t.true(wokenCount > 3, `${wokenCount} times`)
 })
 
-test('should end no lead and lose no proposal when somebody sets the time of day', async t => {
+test('should keep the leader and lose no proposal when the time of day is set', async t => {
   const { cluster, leader } = await start(t)
   const term = leader.running?.replica.core.term
   for (const byMs of [5_000, -5_000, 2_000]) {
