--- a/src/control/admin/leaderAccess.ts
+++ b/src/control/admin/leaderAccess.ts
@@ -83,7 +83,7 @@
       return { kind: 'lost', reason: `the leader ${leader.hostId} did not answer: ${(error as Error).message}` }
     } finally {
       cancelTimer()
-      scope.close('call to the leader ended')
+      scope.close('asked')
     }
   }
 }
--- a/src/control/fleet/endpointAnnouncements.ts
+++ b/src/control/fleet/endpointAnnouncements.ts
@@ -71,11 +71,11 @@
   }
 
   /** Notifies the followers of this host at once, even if no quorum can confirm, so that fewer requests go to a leaving endpoint. */
-  private _notifyFollowers (endpoint: FleetEndpoint, news: EndpointNews): void {
+  private _notifyFollowers (endpoint: FleetEndpoint, updateKind: EndpointNews): void {
     const { logger, followers } = this._options
     const { endpointId, service, sequence, lifecycle } = endpoint
-    logger.event(ControlEvent.EndpointChanged, { endpointId, service, sequence, lifecycle: EndpointLifecycle[lifecycle], news })
-    followers.announce(endpoint, news)
+    logger.event(ControlEvent.EndpointChanged, { endpointId, service, sequence, lifecycle: EndpointLifecycle[lifecycle], news: updateKind })
+    followers.announce(endpoint, updateKind)
   }
 
   private async _confirmLeave (request: EndpointLeaveRequest, scope: Scope): Promise<AnnouncementOutcome> {
--- a/src/control/fleet/endpointDirectory.ts
+++ b/src/control/fleet/endpointDirectory.ts
@@ -77,9 +77,9 @@
     const lifecycle = Math.max(known?.lifecycle ?? EndpointLifecycle.Ready, announced.lifecycle, this._knownLeaves.lifecycleOf(announced))
     const endpoint = { ...announced, lifecycle }
     this._records.set(endpoint.name, { endpoint, heardAtMs: this._clock.nowMs() })
-    const news = updateKindOf(known, endpoint)
-    if (news === undefined) return { kind: 'refreshed' }
-    return { kind: 'changed', endpoint, news, replaced: isNewStart ? markLeft(newest) : undefined }
+    const updateKind = updateKindOf(known, endpoint)
+    if (updateKind === undefined) return { kind: 'refreshed' }
+    return { kind: 'changed', endpoint, news: updateKind, replaced: isNewStart ? markLeft(newest) : undefined }
   }
 
   /**
--- a/src/control/fleet/followerSessions.ts
+++ b/src/control/fleet/followerSessions.ts
@@ -129,15 +129,15 @@
   }
 
   /** Notifies the followers that need this kind of update about an endpoint. */
-  announce (endpoint: FleetEndpoint, news: EndpointNews): void {
+  announce (endpoint: FleetEndpoint, updateKind: EndpointNews): void {
     const update = { endpoints: [endpoint] }
-    switch (news) {
+    switch (updateKind) {
       case EndpointNews.Weights:
         return this._notify(update, HostRole.Store)
       case EndpointNews.Endpoint:
         return this._notify(update)
       default:
-        return unreachable(news)
+        return unreachable(updateKind)
     }
   }
 
--- a/src/control/fleet/routingPush.ts
+++ b/src/control/fleet/routingPush.ts
@@ -20,8 +20,8 @@
 /**
  * Rendezvous hashing: all control hosts choose the same one, and the removal of a
  * control host reassigns only its own followers.
- * @param memberAddresses of all control hosts
- * @returns the address of the one that pushes to the follower; undefined without members
+ * @param memberAddresses addresses of all control hosts
+ * @returns the address of the control host that pushes to the follower; undefined without members
  */
 export function pusherOf (followerId: string, memberAddresses: readonly string[]): string | undefined {
   const ranked = memberAddresses.map(address => ({ address, rank: createHash('sha1').update(`${followerId}\n${address}`).digest('hex') }))
--- a/src/control/ledgers/rollouts/delivery.ts
+++ b/src/control/ledgers/rollouts/delivery.ts
@@ -105,13 +105,13 @@
   const current = state.steps[0]
   if (!current) return { kind: 'advanced', deliverable: [], stepComplete: true, trainerVersion: state.trainerVersion }
   const hasOffered = state.offeredPosition > command.heldPosition
-  const placed = hasOffered ? offeredAgain(state, current) : offerCompleteGroups(state, current, command.maxSamplesCount)
-  const offered = new Set(placed.map(({ state }) => state))
+  const entries = hasOffered ? offeredAgain(state, current) : offerCompleteGroups(state, current, command.maxSamplesCount)
+  const offered = new Set(entries.map(({ state }) => state))
   const stepComplete = statesOf(current).every(slot => slot.isConfirmed || offered.has(slot))
-  return { kind: 'advanced', deliverable: placed.map(toDeliverable), stepComplete, trainerVersion: state.trainerVersion }
+  return { kind: 'advanced', deliverable: entries.map(toDeliverable), stepComplete, trainerVersion: state.trainerVersion }
 }
 
-/** The samples behind the cursor, up to the first group that is not whole at the moment. */
+/** Samples that were offered but are not confirmed, up to the first group that is incomplete now. */
 function offeredAgain (state: JobState, step: StepState): SlotEntry[] {
   const offered = [...slotsOf(state.job, step)]
     .filter(({ state }) => !state.isConfirmed && state.position !== undefined)
--- a/src/control/operatorApi/jsonExchange.ts
+++ b/src/control/operatorApi/jsonExchange.ts
@@ -18,7 +18,7 @@
   let lengthBytes = 0
   for await (const chunk of request as AsyncIterable<Buffer>) {
     lengthBytes += chunk.length
-    if (lengthBytes > MAX_BODY_BYTES) return { kind: 'malformed', message: `the body exceeds the limit of ${MAX_BODY_BYTES} bytes` }
+    if (lengthBytes > MAX_BODY_BYTES) return { kind: 'malformed', message: `the body is over ${MAX_BODY_BYTES} bytes` }
     chunks.push(chunk)
   }
   return parseBody(Buffer.concat(chunks).toString('utf8'), schema)
--- a/src/control/operatorApi/operatorApi.ts
+++ b/src/control/operatorApi/operatorApi.ts
@@ -53,7 +53,7 @@
     const url = parseRequestUrl(request.url ?? '/')
     const path = url && decodePathSegments(url.pathname)
     if (!path) {
-      sendJson(response, malformed(400, 'the URL path is malformed'))
+      sendJson(response, malformed(400, 'the path cannot be read'))
       return true
     }
     const [version, ...segments] = path
--- a/tests/control/silentVoters.test.ts
+++ b/tests/control/silentVoters.test.ts
@@ -40,7 +40,7 @@
   const { cluster, leader, others } = await startCluster(4)
   const [away] = others as [ClusterHost]
   cluster.crash(away)
-  await cluster.until(() => votersCount(leader) === 3, 'the voter is removed')
+  await cluster.until(() => votersCount(leader) === 3, 'struck')
   await cluster.start(away)
   await cluster.until(() => cluster.leading().some(host => votersCount(host) === 4), 'it votes again')
   t.deepEqual(cluster.violations, [])
@@ -50,7 +50,7 @@
   const { cluster, leader, others } = await startCluster(4)
   const [away, ...connected] = others as [ClusterHost, ...ClusterHost[]]
   for (const host of [leader, ...connected]) cluster.network.cut(away.ip, host.ip)
-  await cluster.until(() => votersCount(leader) === 3, 'the voter is removed')
+  await cluster.until(() => votersCount(leader) === 3, 'struck')
   cluster.network.heal()
   await cluster.until(() => votersCount(leader) === 4, 'it votes again')
   t.deepEqual(cluster.leading(), [leader])
