--- a/src/control/controlProgram.ts
+++ b/src/control/controlProgram.ts
@@ -205,7 +205,7 @@
     const { fleet, logger, metrics } = this._options
     if (!fleet?.usageDuty) return
     const duty = new UsageDuty({ ...fleet.usageDuty, node: this.node, followers: this.followers, clock: systemClock, logger, metrics, supervisor: this._supervisor })
-    this._supervisor.spawn('duty of use', scope => duty.run(scope))
+    this._supervisor.spawn('usage duty', scope => duty.run(scope))
     this._supervisor.spawn('closed windows', scope => duty.forgetClosed(scope))
   }
 
--- a/src/control/fleet/usageDuty.ts
+++ b/src/control/fleet/usageDuty.ts
@@ -63,7 +63,7 @@
   }
 
   private async _runWhileLeader (leadership: Leadership, scope: Scope): Promise<void> {
-    const supervisor = this._options.supervisor.child(`duty of use in term ${leadership.term}`)
+    const supervisor = this._options.supervisor.child(`usage duty in term ${leadership.term}`)
     leadership.scope.onClose(() => supervisor.scope.close('leadership over'))
     const leadershipEnded = new Promise<void>(resolve => supervisor.scope.onClose(resolve))
     supervisor.spawn('usage', taskScope => this._reportUsage(leadership, taskScope))
--- a/src/control/routing/notedEnds.ts
+++ b/src/control/routing/notedEnds.ts
@@ -87,7 +87,7 @@
   private _recordEnd (digest: string, endpointId: string, atMs: number): void {
     const known = this._suspects.get(digest)
     if (known?.endpointIds.includes(endpointId)) return
-    // The ends of a condemned request are never discarded: one more end condemns it again.
+    // The ends of a condemned request do not expire, so one more end condemns it again.
     const isForgotten = known !== undefined && !this._isCondemned(known) && atMs - known.endedAtMs > QUARANTINE_MS
     const suspect: Suspect = known && !isForgotten ? known : { digest, endpointIds: [], endedAtMs: atMs }
     const endpointIds = [...suspect.endpointIds, endpointId].slice(-MAX_RECORDED_ENDS_COUNT)
