--- a/src/control/operatorApi/jsonExchange.ts
+++ b/src/control/operatorApi/jsonExchange.ts
@@ -1,5 +1,5 @@
 /**
- * JSON bodies of the operators' interface.
+ * JSON bodies of the operator API.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { z } from 'zod'
