--- a/src/protocol/batches.ts
+++ b/src/protocol/batches.ts
@@ -1,10 +1,10 @@
 /**
- * Batches of rollout items: what is submitted, the results that are listed,
- * and the commands that the batch store's log carries.
+ * Batches of rollout items: submissions, listed results, and the commands in
+ * the batch store's log.
  */
 import { z } from 'zod'
 
-/** The call that scores a sample once its text is whole. */
+/** The call that scores a sample once its text is complete. */
 export const rewardCallSchema = z.object({
   rewardId: z.string(),
   host: z.string(),
@@ -16,14 +16,14 @@
 export const batchItemSchema = z.object({
   itemId: z.string(),
   path: z.string(),
-  /** Names and values in turn, passed on as they are. */
+  /** Alternating names and values, forwarded unchanged. */
   headers: z.array(z.string()),
   body: z.instanceof(Uint8Array),
-  /** Items of a group share their prompt and count only together. */
+  /** Items of a group share their prompt; a group counts only once it is complete. */
   groupId: z.string(),
   model: z.string(),
   promptTokensCount: z.number(),
-  /** The submitter's guess of the tokens that it will make. */
+  /** The submitter's estimate of the number of generated tokens. */
   expectedTokensCount: z.number(),
   reward: rewardCallSchema.optional()
 })
@@ -31,18 +31,18 @@
 
 export const batchSubmissionSchema = z.object({
   batchId: z.string(),
-  /** The client account that it belongs to; absent for none. It outlives the keys of the account. */
+  /** The client account that owns the batch; absent for none. The batch outlives the keys of the account. */
   account: z.string().optional(),
-  /** 0 is the most urgent; that of the account, if it has one, goes before that of the route. */
+  /** 0 is the most urgent. The account's priority, if set, takes precedence over the route's. */
   priority: z.number().optional(),
-  /** Host and path that it was sent to, which tell its route. */
+  /** Host and path of the submission, which determine its route. */
   host: z.string(),
   path: z.string(),
   step: z.int(),
   model: z.string(),
-  /** The oldest version of the weights that may make its samples. */
+  /** The oldest weight version allowed to generate the samples. */
   minVersion: z.int(),
-  /** Whole groups that the trainer waits for. */
+  /** Number of complete groups that the trainer waits for. */
   wantedGroupsCount: z.int(),
   items: z.array(batchItemSchema)
 })
@@ -50,18 +50,18 @@
 
 export enum ResultState {
   Completed = 'completed',
-  /** Given up for good. */
+  /** Permanently abandoned. */
   GivenUp = 'given_up'
 }
 
 /** Some consecutive events of an item's output. */
 export const outputPartSchema = z.object({
   eventsCount: z.int().min(0),
-  /** Data of the events, parted by line feeds, in UTF-8 and deflated: it crosses to every replica and every reader. */
+  /** Data of the events, separated by line feeds, in UTF-8; deflated, because it is sent to every replica and reader. */
   deflatedText: z.instanceof(Uint8Array),
-  /** Bytes of the text itself. */
+  /** Length of the text before compression. */
   textLengthBytes: z.int(),
-  /** Versions of the weights that made any of the events. */
+  /** Weight versions that generated these events. */
   versions: z.array(z.int())
 })
 export type OutputPart = z.infer<typeof outputPartSchema>
@@ -69,9 +69,9 @@
 export const itemResultSchema = z.object({
   itemId: z.string(),
   state: z.enum(ResultState),
-  /** The whole output, in order. */
+  /** The complete output, in order. */
   parts: z.array(outputPartSchema),
-  /** Versions of the weights that made any of its events, in order. */
+  /** Weight versions that generated the output, in order. */
   versions: z.array(z.int()),
   /** Receipt of the reward call. */
   score: z.string().optional()
@@ -93,54 +93,54 @@
   z.object({
     kind: z.literal(BatchCommandKind.Submit),
     submission: batchSubmissionSchema,
-    /** How long its results can be read after it was accepted. */
+    /** How long the results can be read after the batch was accepted. */
     keepMs: z.number()
   }),
   z.object({
     kind: z.literal(BatchCommandKind.Progress),
     batchId: z.string(),
     itemId: z.string(),
-    /** Events that are kept already; 0 begins anew. */
+    /** Id of the last event already replicated; 0 starts the output over. */
     afterEventId: z.int().min(0),
     parts: z.array(outputPartSchema)
   }),
   z.object({
     kind: z.literal(BatchCommandKind.Finish),
     batchId: z.string(),
-    /** Events that are kept already and that the result's parts follow on. */
+    /** Id of the last event already replicated; the result's parts follow it. */
     afterEventId: z.int().min(0),
     result: itemResultSchema
   }),
   z.object({ kind: z.literal(BatchCommandKind.End), batchId: z.string(), account: z.string().optional() }),
-  /** The leader is about to order an engine. */
+  /** The leader is about to send an order to an engine. */
   z.object({
     kind: z.literal(BatchCommandKind.AnnounceOrder),
     endpointId: z.string(),
-    /** The host that gives the order, as the engine is told. */
+    /** The host that sends the order, as stated to the engine. */
     holder: z.string(),
-    /** Loads at a time that the weight store was seen to feed, for whoever leads next. */
+    /** Limit of concurrent weight loads observed for the weight store; passed on to the next leader. */
     lanesCount: z.int().min(1).optional()
   }),
-  /** A trainer named a version of its model's weights. */
+  /** A trainer requested a version of its model's weights. */
   z.object({ kind: z.literal(BatchCommandKind.NameWeights), model: z.string(), version: z.int() }),
-  /** The leader takes over the ordering of engines. */
+  /** The leader takes over the duty of ordering engines. */
   z.object({ kind: z.literal(BatchCommandKind.ClaimSupply), holder: z.string() }),
-  /** The leader is about to order so many engines of a kind in a data centre. */
+  /** The leader is about to order a number of engines of one kind in a data centre. */
   z.object({ kind: z.literal(BatchCommandKind.OrderSupply), service: z.string(), dataCentre: z.string(), isReclaimable: z.boolean(), desiredCount: z.int().min(0) })
 ])
 export type BatchCommand = z.infer<typeof batchCommandSchema>
 
 export type BatchCommandResult =
-  /** Taken, now or before. */
+  /** Accepted by this command or an earlier one. */
   | { kind: 'accepted' }
-  /** A batch of another client account has the id. */
+  /** A batch of another client account has this id. */
   | { kind: 'foreign' }
-  /** The result has a position in the list. */
+  /** The result was listed, now or earlier, at this position. */
   | { kind: 'listed', position: number }
-  /** The batch has ended, or is not known: nothing is listed any more. */
+  /** The batch has ended or is unknown; no further results are listed. */
   | { kind: 'closed' }
   | { kind: 'kept' }
-  /** Other events are kept than the command follows on. */
+  /** The replicated events are not those that the command continues. */
   | { kind: 'mismatch' }
   | { kind: 'ended' }
   | { kind: 'announced' }
--- a/src/protocol/commands.ts
+++ b/src/protocol/commands.ts
@@ -1,5 +1,5 @@
 /**
- * Every command that the replicated log carries, and the result of each.
+ * All commands in the replicated log of the control hosts, and their results.
  */
 import { z } from 'zod'
 import { hostCommandSchema, hostResultSchema, type HostCommand, type HostResult } from './hostCommands.js'
--- a/src/protocol/configuration.ts
+++ b/src/protocol/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration that entry hosts follow: resources and registered hosts,
- * numbered by one revision that grows by one with every change.
+ * The configuration replicated to entry hosts: resources and registered hosts,
+ * under one revision that increases by one with every change.
  */
 import { z } from 'zod'
 import { entryHostSchema } from './hostCommands.js'
@@ -15,7 +15,7 @@
 export const configurationChangeSchema = z.union([resourceEventSchema, ...hostEventSchemas])
 export type ConfigurationChange = z.infer<typeof configurationChangeSchema>
 
-/** Everything in force at a revision, for a follower that the history no longer reaches. */
+/** The full configuration at a revision, for a follower older than the retained history. */
 export const configurationListingSchema = z.object({
   revision: z.int(),
   resources: z.array(resourceSchema),
--- a/src/protocol/controlStatus.ts
+++ b/src/protocol/controlStatus.ts
@@ -1,6 +1,6 @@
 /**
- * GET /v1/status of a control host, with what only operators of the control
- * hosts themselves want to know.
+ * GET /v1/status of a control host: the cluster status with details that only
+ * operators of the control hosts need.
  */
 import { z } from 'zod'
 import { clusterStatusSchema, memberStatusSchema } from './operators.js'
@@ -12,7 +12,7 @@
     operatorAddress: z.string(),
     role: z.enum(['voter', 'learner']),
     isLive: z.boolean(),
-    /** The member has synced the log up to here. */
+    /** Last log index that the member has synced to disk. */
     matchIndex: z.int()
   }))
 })
--- a/src/protocol/endpointLeaves.ts
+++ b/src/protocol/endpointLeaves.ts
@@ -1,36 +1,36 @@
 /**
- * Leaves of endpoints: what was noted of them in the log of the control hosts,
- * and which starts of an endpoint they end, as every host works that out.
+ * Leaves of endpoints: their form in the log of the control hosts, and the rules
+ * by which every host derives the incarnations that a leave ends.
  */
 import { LRUCache } from 'lru-cache'
 import { z } from 'zod'
 
-/** Grows only: an endpoint that leaves becomes ready again by a new start alone. */
+/** Increases only: an endpoint that leaves becomes ready again only by a restart. */
 export enum EndpointLifecycle {
   Ready = 0,
-  /** Finishes what it runs; gets nothing new. */
+  /** Finishes the requests that it runs and gets no new ones. */
   Leaving = 1,
   Gone = 2
 }
 
-/** Endpoints whose leaves a host remembers; heartbeats come some seconds late at most. */
-const MAX_REMEMBERED_COUNT = 4_096
+/** Limit on remembered leaves; an old heartbeat arrives at most some seconds after the leave. */
+const MAX_KNOWN_LEAVES_COUNT = 4_096
 
 const leaveFields = {
-  /** What the endpoint calls itself. */
+  /** The name under which the endpoint announces itself. */
   name: z.string(),
-  /** The start that leaves, 0 for endpoints that do not tell their starts apart; absent when neither the endpoint said nor the control host knew. */
+  /** Start time of the leaving incarnation, 0 for endpoints that send none; absent if it is known neither from the endpoint nor to the control host. */
   bornAtMs: z.int().min(0).optional(),
   lifecycle: z.enum(EndpointLifecycle)
 }
 
-/** A leave before it is noted. */
+/** A leave before it is recorded in the log. */
 export const endpointLeaveRequestSchema = z.object(leaveFields)
 export type EndpointLeaveRequest = z.infer<typeof endpointLeaveRequestSchema>
 
 export const endpointLeaveSchema = z.object({
   ...leaveFields,
-  /** Its place among all leaves that were noted; grows. */
+  /** Sequence number of the leave in the log; increases. */
   number: z.int().min(1)
 })
 export type EndpointLeave = z.infer<typeof endpointLeaveSchema>
@@ -41,14 +41,14 @@
   lifecycle: EndpointLifecycle
 }
 
-/** The leaves that a host has been told of. */
+/** The leaves that a host knows. */
 export class KnownLeaves {
   /** By the endpoint's name. */
-  private readonly _leaves = new LRUCache<string, KnownLeave>({ max: MAX_REMEMBERED_COUNT })
+  private readonly _leaves = new LRUCache<string, KnownLeave>({ max: MAX_KNOWN_LEAVES_COUNT })
 
   /**
-   * Told again, also by another control host, a leave changes nothing.
-   * @param newestBornAtMs the newest start of the endpoint that is known here; a leave that does not say which start it ends, ends that one
+   * Records a leave. Idempotent: the same leave may be received again, also from another control host.
+   * @param newestBornAtMs start time of the newest incarnation known here, which a leave without a start time ends
    */
   note ({ number, name, bornAtMs, lifecycle }: EndpointLeave, newestBornAtMs: number | undefined): void {
     const known = this._leaves.get(name)
@@ -59,7 +59,7 @@
     this._leaves.set(name, { number, bornAtMs: endsAtMs, lifecycle: isSameStart ? Math.max(known.lifecycle, lifecycle) : lifecycle })
   }
 
-  /** How far a start has come by the leaves that are known. A start after the one that left is not concerned, an earlier one is gone. */
+  /** The lifecycle of an incarnation according to the known leaves: those before the one that left are removed, later ones are unaffected. */
   lifecycleOf ({ name, bornAtMs }: { name: string, bornAtMs: number }): EndpointLifecycle {
     const known = this._leaves.get(name)
     if (!known || bornAtMs > known.bornAtMs) return EndpointLifecycle.Ready
--- a/src/protocol/endpoints.ts
+++ b/src/protocol/endpoints.ts
@@ -1,5 +1,5 @@
 /**
- * What endpoints say and are told: announcements to an entry host, streamed
+ * The interface to endpoints: announcements to an entry host, streamed
  * completions, and orders with a fencing number.
  */
 import { z } from 'zod'
@@ -21,16 +21,16 @@
 })
 export type LoadReport = z.infer<typeof loadReportSchema>
 
-/** POST /v1/endpoints/announce, repeated before the lease ends. */
+/** POST /v1/endpoints/announce, repeated before the lease expires. */
 export const announcementSchema = z.object({
   endpointId: z.string().min(1).max(128),
   pool: z.string(),
   endpointKind: z.enum(EndpointKind),
-  /** Base URL with an IP number, such as http://127.0.2.1:8000 */
+  /** Base URL with an IP address, such as http://127.0.2.1:8000 */
   url: z.string(),
-  /** Grows with every start of the endpoint. */
+  /** Increases with every start of the endpoint. */
   incarnation: z.int(),
-  /** Grows with every announcement of one incarnation. */
+  /** Increases with every announcement of one incarnation. */
   sequence: z.int(),
   dataCentre: z.string(),
   model: z.string().optional(),
@@ -45,8 +45,8 @@
 export type Announcement = z.infer<typeof announcementSchema>
 
 /**
- * The version that an engine serves of its base weights, or of an adapter;
- * undefined when it serves none. Adapters are announced as `name@version`.
+ * The version of the base weights, or of the given adapter, that an engine
+ * serves; undefined for none. Adapters are announced as `name@version`.
  */
 export function versionServed (announcement: Pick<Announcement, 'weightVersion' | 'adapters'>, adapter?: string): number | undefined {
   if (adapter === undefined) return announcement.weightVersion
@@ -58,7 +58,7 @@
 export const announcementReplySchema = z.object({
   /** The announcement must be repeated within this time. */
   leaseRemainingMs: z.number(),
-  /** Hosts to announce to from now on, `ip:port`, first choice first. */
+  /** Hosts to announce to from now on, `ip:port`, in order of preference. */
   announceTo: z.array(z.string())
 })
 export type AnnouncementReply = z.infer<typeof announcementReplySchema>
@@ -72,7 +72,7 @@
   /** Echoed in every chunk; an answer under another id is dropped. */
   request_id: z.string().optional(),
   priority: z.number().optional(),
-  /** Tokens already generated, to resume after: the engine goes on behind them. */
+  /** Tokens already generated, after which the engine resumes. */
   resume_tokens: z.array(z.string()).optional(),
   seed: z.int().optional()
 })
@@ -90,7 +90,7 @@
   /** Index of the first token of the chunk within the whole answer. */
   token_offset: z.int().min(0),
   tokens: z.array(z.string()),
-  /** Version of the weights which produced these tokens. */
+  /** Version of the weights that generated these tokens. */
   weight_version: z.int(),
   engine_id: z.string(),
   engine_incarnation: z.int(),
@@ -105,10 +105,10 @@
 }
 
 const orderBase = {
-  /** Orders with a number lower than one already seen are refused, where endpoints check. */
+  /** Endpoints that enforce fencing refuse orders with a number below the highest that they have received. */
   fencing_number: z.int(),
   order_id: z.string(),
-  /** The endpoint drops the order when this time has passed on arrival of its turn. */
+  /** The endpoint drops the order if this time has passed when it would start executing it. */
   remaining_ms: z.number()
 }
 
@@ -127,7 +127,7 @@
 ])
 export type OrderReply = z.infer<typeof orderReplySchema>
 
-/** GET {url}/v1/state: the endpoint's own word on what it runs. */
+/** GET {url}/v1/state: what the endpoint itself reports as running. */
 export const endpointStateSchema = z.object({
   endpointId: z.string(),
   incarnation: z.int(),
@@ -139,10 +139,10 @@
 })
 export type EndpointState = z.infer<typeof endpointStateSchema>
 
-/** The header by which a plain service says, with status 503, that it did not run a call. */
+/** Sent by a plain service with status 503: the call was not executed. */
 export const NOT_EXECUTED_HEADER = 'x-not-executed'
 
-/** The header with the id of the try of a service call; an answer that echoes another id is dropped. */
+/** The id of one attempt of a service call; an answer that echoes another id is dropped. */
 export const REQUEST_ID_HEADER = 'x-request-id'
 
 /** POST {url}/v1/score of a service that scores samples. */
@@ -157,7 +157,7 @@
 export const scoreReplySchema = z.object({ score: z.number() })
 export type ScoreReply = z.infer<typeof scoreReplySchema>
 
-/** Where a version lies in a weight store: GET reads it, PUT by the trainer makes it. */
+/** URL of a version in the weight store: GET reads it, the trainer creates it by PUT. */
 export function weightsUrl (weightStoreUrl: string, weightVersion: number, adapter?: string): string {
   const path = adapter === undefined ? String(weightVersion) : `${adapter}/${weightVersion}`
   return `${weightStoreUrl.replace(/\/$/, '')}/v1/weights/${path}`
--- a/src/protocol/fleet.ts
+++ b/src/protocol/fleet.ts
@@ -1,7 +1,7 @@
 /**
- * What hosts that follow the control hosts say and are told, over framed TCP:
- * the routing configuration, the endpoints that announced themselves, the
- * other hosts, and the versions of weights to bring into force.
+ * Messages between the control hosts and their followers, over framed TCP: the
+ * routing configuration, announced endpoints, the other hosts, and the requested
+ * weight versions.
  */
 import { z } from 'zod'
 import { EndpointLifecycle, endpointLeaveSchema } from './endpointLeaves.js'
@@ -13,11 +13,11 @@
 export { EndpointLifecycle }
 
 export const fleetEndpointSchema = z.object({
-  /** New with every start of the endpoint: what is believed of one start never counts for the next. */
+  /** New with every start of the endpoint, so that the observed state of one incarnation is never applied to the next. */
   endpointId: z.string(),
-  /** What the endpoint calls itself, at each of its starts. */
+  /** The name under which the endpoint announces itself; the same for all incarnations. */
   name: z.string(),
-  /** Unix time of its start, by the clock of its host; 0 when it does not say. */
+  /** Unix time of the start, by the clock of the endpoint's host; 0 if not announced. */
   bornAtMs: z.int().min(0),
   service: z.string(),
   /** `ip:port` */
@@ -25,19 +25,19 @@
   dataCentre: z.string(),
   slotsCount: z.int().min(0),
   lifecycle: z.enum(EndpointLifecycle),
-  /** Grows with every heartbeat of the endpoint. */
+  /** Increases with every heartbeat of the endpoint. */
   sequence: z.number(),
-  /** How much longer it is slow after its start, at the time of the heartbeat. */
+  /** Remaining time of the slow phase after the start, as of the heartbeat. */
   coldLeftMs: z.number(),
-  /** It costs less and may be taken away at short notice. */
+  /** The endpoint costs less and may be reclaimed at short notice. */
   isReclaimable: z.boolean().optional(),
-  /** Time until it is taken away, at the time of the heartbeat; absent when it does not say. */
+  /** Time until the endpoint is reclaimed, as of the heartbeat; absent if not announced. */
   leavesInMs: z.number().optional(),
   weights: z.array(namedWeightsSchema)
 })
 export type FleetEndpoint = z.infer<typeof fleetEndpointSchema>
 
-/** One start of an endpoint. Those that do not say when they started have a new name with every start. */
+/** Id of one incarnation of an endpoint. Endpoints that do not announce their start time use a new name for every start. */
 export function incarnationId (name: string, bornAtMs: number): string {
   return bornAtMs === 0 ? name : `${name}@${bornAtMs}`
 }
@@ -49,12 +49,12 @@
 
 export const storeStatusSchema = z.object({
   replicaId: z.string(),
-  /** Where the other replicas and entry hosts connect. */
+  /** The address to which other replicas and entry hosts connect. */
   peerAddress: z.string(),
   clusterId: z.string().nullable(),
   term: z.int(),
   isLeader: z.boolean(),
-  /** Replicas that hold the store, voters and spares, as the leader knows them; empty elsewhere. */
+  /** Voters and spares of the store, reported by the leader only; empty on other replicas. */
   memberIds: z.array(z.string())
 })
 export type StoreStatus = z.infer<typeof storeStatusSchema>
@@ -64,57 +64,57 @@
   hostName: z.string(),
   dataCentre: z.string(),
   role: z.enum(HostRole),
-  /** Takes new work. */
+  /** The host accepts new work. */
   isServing: z.boolean(),
-  /** Where callers connect; entry hosts only. */
+  /** The address to which callers connect; entry hosts only. */
   callerAddress: z.string().optional(),
   store: storeStatusSchema.optional()
 })
 export type FleetHost = z.infer<typeof fleetHostSchema>
 
 /**
- * Parts that are left out have not changed since the last update of the
- * connection. Hosts come whole once on a connection and by change from then on;
- * a connection keeps its order and loses nothing, and a new one begins anew.
+ * Absent fields have not changed since the last update on this connection. The
+ * first update has the full list of hosts, later ones only changes: a connection
+ * delivers updates in order and without loss, and a new one starts over.
  */
 export const fleetUpdateSchema = z.object({
   routing: routingSchema.optional(),
   weights: z.array(namedWeightsSchema).optional(),
   storeGroup: storeGroupSchema.optional(),
   retirements: z.array(retirementSchema).optional(),
-  /** All hosts; those told of before and not named here are gone. */
+  /** All hosts; any other known host is removed. */
   hosts: z.array(fleetHostSchema).optional(),
-  /** Hosts that are new or have changed. */
+  /** New and changed hosts. */
   changedHosts: z.array(fleetHostSchema).optional(),
   lostHostIds: z.array(z.string()).optional(),
   endpoints: z.array(fleetEndpointSchema).optional(),
-  /** Leaves that were noted since the last update of the connection, in the order of their numbers. */
+  /** Leaves recorded since the last update on this connection, in the order of their numbers. */
   leaves: z.array(endpointLeaveSchema).optional(),
-  /** Requests under which endpoints ended, as they were judged since the last update of the connection. */
+  /** Quarantine entries that are new or have changed since the last update on this connection. */
   quarantine: z.array(quarantineNoticeSchema).optional(),
-  /** Endpoints that fell silent, with the last sequence that was heard. */
+  /** Endpoints without recent heartbeats, with the last sequence number received. */
   silent: z.array(z.object({ endpointId: z.string(), sequence: z.number() })).optional()
 })
 export type FleetUpdate = z.infer<typeof fleetUpdateSchema>
 
 export const followRequestSchema = z.object({
-  /** The follower; left out when the last call on this connection was answered and it has not changed since. */
+  /** The follower itself; absent if unchanged since the last answered call on this connection. */
   host: fleetHostSchema.optional(),
-  /** Version of the routing configuration in force on the host; absent before the first one. */
+  /** Version of the routing configuration in effect on the host; absent before the first one. */
   routingVersion: z.int().optional(),
   /** The follower's time of day, by its own clock. */
   wallMs: z.number().optional(),
-  /** Left out while nothing has changed since the last call that was answered. */
+  /** Absent if unchanged since the last answered call. */
   usage: usageReportSchema.optional()
 })
 export type FollowRequest = z.infer<typeof followRequestSchema>
 
 export const followReplySchema = z.object({
-  /** Every control host, for a follower whose settings are older than the cluster; left out while it has not changed. */
+  /** All control hosts, for followers whose settings list outdated members; absent if unchanged. */
   controlAddresses: z.array(z.string()).optional(),
-  /** True when a quorum confirmed, after the call began, that nothing newer is in force. */
+  /** True if a quorum confirmed, after the call started, that no newer routing configuration is in effect. */
   isRoutingConfirmed: z.boolean(),
-  /** The time of day as most hosts have it. */
+  /** The time of day agreed on by most hosts. */
   fleetWallMs: z.number().optional(),
   update: fleetUpdateSchema
 })
--- a/src/protocol/hostCommands.ts
+++ b/src/protocol/hostCommands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands about hosts and fencing numbers.
+ * Commands that register and remove entry hosts and issue fencing numbers.
  */
 import { z } from 'zod'
 
@@ -12,11 +12,11 @@
 export const entryHostSchema = z.object({
   hostId: z.string(),
   dataCentre: z.string(),
-  /** Where callers, trainers and endpoints connect, `ip:port`. */
+  /** The address for callers, trainers and endpoints, `ip:port`. */
   callerAddress: z.string(),
-  /** Where the system's own processes connect, `ip:port`. */
+  /** The address for the system's own processes, `ip:port`. */
   peerAddress: z.string(),
-  /** Grows with every start of the process. */
+  /** Increases with every start of the process. */
   incarnation: z.number()
 })
 export type EntryHost = z.infer<typeof entryHostSchema>
@@ -24,7 +24,7 @@
 export const hostCommandSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal(HostCommandKind.Register), host: entryHostSchema }),
   z.object({ kind: z.literal(HostCommandKind.Remove), hostId: z.string(), incarnation: z.number() }),
-  /** Makes the holder the only one whose orders in the scope count. */
+  /** Issues a new fencing number, which invalidates the orders of earlier holders in the scope. */
   z.object({ kind: z.literal(HostCommandKind.AcquireFence), fenceScope: z.string(), holder: z.string() })
 ])
 export type HostCommand = z.infer<typeof hostCommandSchema>
--- a/src/protocol/operators.ts
+++ b/src/protocol/operators.ts
@@ -1,6 +1,6 @@
 /**
- * What operators send to the operator address of any control host, and get.
- * Followers pass these calls on to the leader.
+ * The operators' HTTP interface at the operator address of any control host.
+ * Followers forward these calls to the leader.
  */
 import { z } from 'zod'
 import { entryHostSchema } from './hostCommands.js'
@@ -13,13 +13,13 @@
   status: '/v1/status',
   /** Followed by job/progress. */
   jobs: '/v1/jobs/',
-  /** Followed by a digest, to let it go. */
+  /** Followed by a digest, to lift the quarantine of that request. */
   quarantine: '/v1/quarantine/',
-  /** Of an entry host's operator address; followed by a request's or an attempt's id. */
+  /** At an entry host's operator address; followed by the id of a request or an attempt. */
   explain: '/v1/explain/',
-  /** Of an entry host's operator address. */
+  /** At an entry host's operator address. */
   drain: '/v1/drain',
-  /** Of an entry host's operator address; followed by endpointId/drain. */
+  /** At an entry host's operator address; followed by endpointId/drain. */
   endpoints: '/v1/endpoints/'
 } as const
 
@@ -38,9 +38,9 @@
 export type MemberStatus = z.infer<typeof memberStatusSchema>
 
 export const entryHostStatusSchema = entryHostSchema.partial({ peerAddress: true, incarnation: true }).extend({
-  /** Where `drain` and `explain` go, `ip:port`. */
+  /** The address for `drain` and `explain`, `ip:port`. */
   operatorAddress: z.string().optional(),
-  /** Highest revision of the configuration that the host has in force, as it last said. */
+  /** Configuration revision in effect on the host, as it last reported. */
   revisionInForce: z.int(),
   holdsLease: z.boolean()
 })
@@ -56,12 +56,12 @@
 })
 export type ClusterStatus = z.infer<typeof clusterStatusSchema>
 
-/** 410 of a watch whose start has been compacted away: list again, then watch from there. */
+/** Body of status 410: the start revision of the watch has been compacted; list again and watch from that revision. */
 export const compactedSchema = z.object({
   reason: z.literal('compacted'),
   currentRevision: z.int()
 })
 
-/** Requests under which endpoints ended, the latest last. */
+/** Requests during which endpoints failed, latest last. */
 export const quarantineListSchema = z.object({ requests: z.array(quarantineNoticeSchema) })
 export type QuarantineList = z.infer<typeof quarantineListSchema>
--- a/src/protocol/quarantine.ts
+++ b/src/protocol/quarantine.ts
@@ -1,33 +1,33 @@
 /**
- * Requests under which endpoints end: what hosts report of them, and what the
- * control hosts tell all hosts. A request is known by a digest of what its
- * callers repeat.
+ * Quarantine of requests that make endpoints fail: the reports of hosts, and the
+ * entries that the control hosts distribute to all hosts. A request is identified
+ * by a digest of the content that its callers repeat.
  */
 import { createHash } from 'node:crypto'
 import { z } from 'zod'
 
-/** A request that has ended so many endpoints is sent to no further one: one more than chance and a bystander's bad luck. */
+/** A request is condemned, and no longer sent, after this many endpoints failed while running it: two failures may be chance or due to a concurrent request. */
 export const CONDEMNING_ENDS_COUNT = 3
-/** From the last end on. A request that comes again later may end one more endpoint, and is condemned by that. */
+/** Counted from the last failure. A request repeated later may make one more endpoint fail, which condemns it again. */
 export const QUARANTINE_MS = 4 * 3_600_000
-/** Requests that one end is reported for; a model engine runs some dozens at once, of which one host knows its own. */
+/** Requests reported per failure; a model engine runs some dozens at once, and a host reports only its own. */
 export const MAX_DIGESTS_PER_END = 32
-/** Ends in one report: a data centre of endpoints that goes takes some dozens along. */
+/** Failures per report; the loss of a data centre ends some dozens of endpoints at once. */
 export const MAX_ENDS_PER_REPORT = 64
 
-/** 128 bits of SHA-256: nobody finds two bodies with the same ones, so no caller can shut another out. */
+/** 128 bits of SHA-256: collisions are infeasible, so no caller can get another caller's request quarantined. */
 const DIGEST_HEX_LENGTH = 32
 
 const digestSchema = z.string().regex(new RegExp(`^[0-9a-f]{${DIGEST_HEX_LENGTH}}$`), 'expected 32 hexadecimal digits')
 
 export enum QuarantineVerdict {
   Cleared = 'cleared',
-  /** Endpoints ended under it and perhaps under others that ran beside it. */
+  /** Endpoints failed while running it, but perhaps because of concurrent requests. */
   Suspected = 'suspected',
   Condemned = 'condemned'
 }
 
-/** An endpoint that ended, with what the reporting host ran there. */
+/** A failed endpoint, with the requests that the reporting host was running there. */
 export const endedEndpointSchema = z.object({
   endpointId: z.string(),
   digests: z.array(digestSchema).min(1).max(MAX_DIGESTS_PER_END)
@@ -35,28 +35,28 @@
 export type EndedEndpoint = z.infer<typeof endedEndpointSchema>
 
 export const quarantineNoticeSchema = z.object({
-  /** Grows with each notice; of two about a request the higher one holds. */
+  /** Increases with each entry; of two entries on a request, the higher number is in effect. */
   number: z.int().min(1),
   digest: digestSchema,
   verdict: z.enum(QuarantineVerdict),
-  /** Starts of endpoints that ended while they ran it. */
+  /** Incarnations of endpoints that failed while running the request. */
   endpointIds: z.array(z.string()),
-  /** Unix time of the last of these ends, by the clock of the leader that noted it. */
+  /** Unix time of the last of these failures, by the clock of the leader that recorded it. */
   endedAtMs: z.number()
 })
 export type QuarantineNotice = z.infer<typeof quarantineNoticeSchema>
 
-/** What comes again when a caller repeats a request; the id of its try does not. */
+/** The content that stays the same when a caller repeats a request, unlike the attempt id. */
 export interface RepeatedParts {
-  /** The host that the caller addressed: callers of other hosts are others. */
+  /** The host that the caller addressed; equal requests to another host count as different. */
   host: string
   method: string
-  /** With its query. */
+  /** Including the query string. */
   path: string
   body: Uint8Array
 }
 
-/** 1.4 µs for a body of 600 bytes (Node.js 20): 0.14 % of a core at a thousand requests a second. */
+/** Takes 1.4 µs for a body of 600 bytes on Node.js 20, which is 0.14 % of a core at 1,000 requests per second. */
 export function digestOf ({ host, method, path, body }: RepeatedParts): string {
   return createHash('sha256').update(JSON.stringify([host, method, path])).update(body).digest('hex').slice(0, DIGEST_HEX_LENGTH)
 }
--- a/src/protocol/queries.ts
+++ b/src/protocol/queries.ts
@@ -17,7 +17,7 @@
 export type Query = z.infer<typeof querySchema>
 
 export const unrepeatableStateSchema = z.discriminatedUnion('kind', [
-  /** Never started, or given up as "not run". */
+  /** Never started, or released as "not run". */
   z.object({ kind: z.literal('absent'), generation: z.int().min(0) }),
   z.object({ kind: z.literal('started'), hostId: z.string(), startedAtMs: z.number(), attemptId: z.string() }),
   z.object({ kind: z.literal('answered'), answer: recordedAnswerSchema, requestHash: z.string() })
--- a/src/protocol/refusals.ts
+++ b/src/protocol/refusals.ts
@@ -1,6 +1,6 @@
 /**
- * Refusals: the one shape in which a caller, trainer or operator learns that
- * the system gave up, why, and whether anything ran.
+ * Refusals: the common form in which callers, trainers and operators learn that
+ * a request failed, why, and whether it was executed.
  */
 import { z } from 'zod'
 
@@ -12,7 +12,7 @@
   UnknownPriorityClass = 'unknown_priority_class',
   IdempotencyKeyRequired = 'idempotency_key_required',
   IdempotencyKeyReused = 'idempotency_key_reused',
-  /** Another try of the same key was refused as not run while this one waited. */
+  /** Another attempt with the same key was refused as not run while this one waited. */
   Superseded = 'superseded',
   CallerLimit = 'caller_limit',
   QueueFull = 'queue_full',
@@ -21,7 +21,7 @@
   NoEndpoint = 'no_endpoint',
   EndpointFailed = 'endpoint_failed',
   EndpointRefused = 'endpoint_refused',
-  /** Endpoints ended under the request: it is sent to no further one. */
+  /** Several endpoints failed while running the request, so it is no longer sent to any. */
   Quarantined = 'quarantined',
   RetryBudgetSpent = 'retry_budget_spent',
   AnswerLost = 'answer_lost',
@@ -30,18 +30,18 @@
   LeaseLost = 'lease_lost',
   ControlUnavailable = 'control_unavailable',
   SessionFenced = 'session_fenced',
-  /** A pull names a position or a step at which its session is not. */
+  /** A pull names a position or step that does not match its session. */
   CursorMismatch = 'cursor_mismatch'
 }
 
-/** Whether the request was executed, as far as the system can know. */
+/** Whether the request was executed, as far as the system can determine. */
 export enum Executed {
   No = 'no',
   Unknown = 'unknown',
   Yes = 'yes'
 }
 
-/** Why a further try was made. */
+/** Why another attempt was made. */
 export enum RetryReason {
   EndpointRefused = 'endpoint_refused',
   ConnectFailed = 'connect_failed',
@@ -56,17 +56,17 @@
   reason: z.enum(RefusalReason),
   executed: z.enum(Executed),
   message: z.string(),
-  /** When to come back, in milliseconds from now; also sent as Retry-After. */
+  /** Delay before a retry, in milliseconds; also sent as Retry-After. */
   retryAfterMs: z.number().optional(),
-  /** Hosts that may serve it instead, `ip:port`. */
+  /** Hosts that may serve the request instead, `ip:port`. */
   otherHosts: z.array(z.string()).optional(),
-  /** What was tried, oldest first. */
+  /** The calls made for the request, oldest first. */
   callLog: z.array(z.string()).optional()
 })
 
 export type Refusal = z.infer<typeof refusalSchema>
 
-/** The HTTP status that goes with a reason. */
+/** The HTTP status of each reason. */
 export const refusalStatus: Record<RefusalReason, number> = {
   [RefusalReason.MalformedRequest]: 400,
   [RefusalReason.BodyTooLarge]: 413,
--- a/src/protocol/resourceCommands.ts
+++ b/src/protocol/resourceCommands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands on resources and their results, as entries of the replicated log.
+ * Commands on resources and their results, as recorded in the replicated log.
  */
 import { z } from 'zod'
 import { ResourceKind, resourceNameSchema, resourceSchema } from './resources.js'
@@ -10,11 +10,11 @@
 }
 
 const target = {
-  /** Chosen by the operator's client; a resent change gets its first result. */
+  /** Chosen by the operator's client; a resent change returns its first result. */
   changeId: z.string().min(1).max(128),
   resourceKind: z.enum(ResourceKind),
   name: resourceNameSchema,
-  /** Revision the operator last saw; 0 creates; undefined changes whatever is there. */
+  /** Revision that the operator last read; 0 requires that the resource does not exist; undefined changes any revision. */
   expectedRevision: z.int().min(0).optional()
 }
 
--- a/src/protocol/resources.ts
+++ b/src/protocol/resources.ts
@@ -1,5 +1,5 @@
 /**
- * The resources that operators declare, and the envelope they travel in.
+ * The resources that operators declare, and their common envelope.
  */
 import { z } from 'zod'
 
@@ -25,27 +25,27 @@
 
 export const endpointPoolSpecSchema = z.strictObject({
   endpointKind: z.enum(EndpointKind),
-  /** The model its engines load; engines only. */
+  /** The model that the pool's engines load; engines only. */
   model: z.string().optional(),
   fencing: z.enum(FencingSupport).default(FencingSupport.Ignored),
-  /** Paths of a service, matched by prefix, whose calls may run at most once. */
+  /** Path prefixes of a service whose calls may run at most once. */
   unrepeatablePaths: z.array(z.string()).default([]),
   maxQueuedCount: positiveCount.default(1000),
   maxQueuedBytes: positiveCount.default(64 * 1024 * 1024),
-  /** Requests that one endpoint runs at once at most. */
+  /** Limit of concurrent requests per endpoint. */
   maxConcurrentCount: positiveCount.default(32),
-  /** Where the weights of the model come from: base URL of the weight store. */
+  /** Base URL of the weight store from which engines load the model. */
   weightStoreUrl: z.string().optional(),
-  /** Engines that keep serving while others swap, in percent. */
+  /** Share of the engines that keep serving while others swap weights, in percent. */
   minServingPercent: z.number().min(0).max(100).default(50),
-  /** Engines that fetch from the weight store at once: as many as fill its rate. */
+  /** Engines that fetch from the weight store concurrently; chosen to saturate its throughput. */
   maxFetchingCount: positiveCount.default(2)
 })
 
 export const priorityClassSpecSchema = z.strictObject({
-  /** What the class pays, relative to the others. */
+  /** Payment of the class, relative to other classes. */
   paidWeight: z.number().positive(),
-  /** Share of the endpoints that the class gets even when others pay more, in percent. */
+  /** Minimum share of the endpoints, even if other classes pay more, in percent. */
   minSharePercent: z.number().min(0).max(100).default(5),
   maxQueuedCount: positiveCount.default(1000)
 })
@@ -57,18 +57,18 @@
   /** Samples of one prompt, delivered together. */
   groupSizeCount: positiveCount,
   groupsPerStepCount: positiveCount,
-  /** How many weight versions a sample may be behind its trainer's at delivery. */
+  /** Maximum number of weight versions that a sample may lag behind its trainer at delivery. */
   stalenessBoundVersions: z.int().min(0),
   maxTokensCount: positiveCount.default(256),
-  /** Steps whose samples may be started before the trainer asks for them. */
+  /** Number of later steps whose samples may start before the trainer requests them. */
   startAheadSteps: z.int().min(0).default(0),
-  /** 0 weighs only trainer idle time, 1 only staleness. */
+  /** Trade-off in scheduling: 0 minimizes only trainer idle time, 1 only staleness. */
   stalenessWeight: z.number().min(0).max(1).default(0.5),
-  /** The pool whose services score samples; unscored without one. */
+  /** The pool whose services score samples; without one, samples are not scored. */
   scoringPool: z.string().optional(),
-  /** Gives up an attempt that takes longer, in milliseconds. */
+  /** An attempt that takes longer is abandoned, in milliseconds. */
   attemptTimeoutMs: positiveCount.default(600_000),
-  /** The trainer's weights are an adapter of this name, so jobs can share engines. */
+  /** The trainer publishes its weights as an adapter of this name, so that jobs can share engines. */
   adapter: z.string().regex(/^[A-Za-z0-9._-]{1,64}$/).optional(),
   paused: z.boolean().default(false)
 })
--- a/src/protocol/rolloutCommands.ts
+++ b/src/protocol/rolloutCommands.ts
@@ -15,19 +15,19 @@
   PublishWeights = 'rollout.publishWeights'
 }
 
-/** Why an attempt or a committed sample was thrown away. */
+/** Why an attempt or a committed sample was discarded. */
 export enum SampleDropReason {
-  /** Its slot has another attempt by now, or a committed sample. */
+  /** The slot has a newer attempt or a committed sample. */
   Late = 'late',
-  /** Its oldest version is behind the trainer's by more than the bound. */
+  /** The oldest weight version of the sample lags behind the trainer by more than the staleness bound. */
   Stale = 'stale',
-  /** None of its holders has the content any more. */
+  /** No host holds the content any more. */
   ContentLost = 'contentLost',
-  /** The step of its slot is over, or was never open. */
+  /** The step of the slot has ended or was never open. */
   UnknownSlot = 'unknownSlot',
-  /** The host that ran it lost its lease or restarted. */
+  /** The host that ran the attempt lost its lease or restarted. */
   HostLost = 'hostLost',
-  /** The host that ran it gave it up. */
+  /** The host that ran the attempt abandoned it. */
   GivenUp = 'givenUp'
 }
 
@@ -45,11 +45,11 @@
   prompt: z.string(),
   /** Forecast from earlier samples of the prompt, or of the job. */
   expectedTokensCount: z.number(),
-  /** Weights older than this would be too old when the sample is delivered. */
+  /** Older weights would exceed the staleness bound when the sample is delivered. */
   minWeightVersion: z.int(),
-  /** Earlier attempts at the slot; a host may hold a checkpoint of one. */
+  /** Number of earlier attempts at the slot; a host may hold a checkpoint of one. */
   earlierAttemptsCount: z.int(),
-  /** The step is not the trainer's current one yet. */
+  /** The step comes after the trainer's current step. */
   isAhead: z.boolean()
 })
 export type LeasedSlot = z.infer<typeof leasedSlotSchema>
@@ -63,32 +63,32 @@
 })
 export type CommittedSample = z.infer<typeof committedSampleSchema>
 
-const wantedSlotsSchema = z.object({
+const slotRequestSchema = z.object({
   job: z.string(),
   maxSlotsCount: z.int().min(0),
-  /** Slots of later steps among them, at most. */
+  /** How many of these may belong to later steps. */
   maxAheadCount: z.int().min(0)
 })
-export type WantedSlots = z.infer<typeof wantedSlotsSchema>
+export type WantedSlots = z.infer<typeof slotRequestSchema>
 
 export const rolloutCommandSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal(RolloutCommandKind.OpenSession), job: z.string(), sessionId: z.string() }),
   /**
-   * Renews the lease of a host, names what it runs, and asks for more. Slots
-   * leased to it that it does not name are free again, so a lost answer heals
-   * with the next command.
+   * Renews the lease of a host, lists its running attempts, and requests slots.
+   * Leased slots that are not listed become free, so that a lost answer is
+   * corrected by the next command.
    */
   z.object({
     kind: z.literal(RolloutCommandKind.LeaseSlots),
     hostId: z.string(),
-    /** Grows with every start of the process; a new one frees what the old one ran. */
+    /** Increases with every start of the process; a new incarnation frees the slots of the old one. */
     hostIncarnation: z.number(),
-    /** Grows with every such command of one process. */
+    /** Increases with every such command of one process. */
     sequence: z.int(),
     runningAttemptIds: z.array(z.string()),
-    /** Whether the answer names the samples that the host holds. */
+    /** Whether the answer should list the samples that the host holds. */
     wantsHeld: z.boolean(),
-    wanted: z.array(wantedSlotsSchema)
+    wanted: z.array(slotRequestSchema)
   }),
   z.object({
     kind: z.literal(RolloutCommandKind.CommitSample),
@@ -97,11 +97,11 @@
     holderHostIds: z.array(z.string()),
     versions: z.array(versionSpanSchema)
   }),
-  /** A pull: confirms what the trainer holds, names its version, asks for whole groups. */
+  /** A pull: confirms the samples that the trainer holds, reports its version, and requests complete groups. */
   z.object({
     kind: z.literal(RolloutCommandKind.Advance),
     job: z.string(),
-    /** The host that serves the pull; told when a group is whole. */
+    /** The host that serves the pull; notified when a group is complete. */
     hostId: z.string(),
     sessionNumber: z.int(),
     step: z.int(),
@@ -109,29 +109,29 @@
     trainerVersion: z.int(),
     maxSamplesCount: z.int().min(1)
   }),
-  /** The content of a committed sample is lost: its position is to be filled again. */
+  /** The content of a committed sample is lost; its position must be filled again. */
   z.object({ kind: z.literal(RolloutCommandKind.DropSample), ...slotSchema.shape, attemptId: z.string(), reason: z.enum(SampleDropReason) }),
-  /** The content has been copied, so other hosts hold it now. */
+  /** The content was copied to other hosts, which hold it now. */
   z.object({ kind: z.literal(RolloutCommandKind.MoveSample), ...slotSchema.shape, attemptId: z.string(), holderHostIds: z.array(z.string()) }),
   z.object({ kind: z.literal(RolloutCommandKind.PublishWeights), job: z.string(), sessionNumber: z.int(), weightVersion: z.int() })
 ])
 export type RolloutCommand = z.infer<typeof rolloutCommandSchema>
 export type RolloutCommandOf<K extends RolloutCommandKind> = Extract<RolloutCommand, { kind: K }>
 
-/** What a host learns of a job when it renews its lease. */
+/** Status of a job, sent to a host that renews its lease. */
 export const jobOutlookSchema = z.object({
   job: z.string(),
   step: z.int(),
   trainerVersion: z.int(),
   publishedVersion: z.int(),
-  /** Slots of the current step that nobody runs. */
+  /** Number of slots of the current step without a running attempt. */
   waitingCount: z.int(),
-  /** Slots of later steps that may start and that nobody runs. */
+  /** Number of slots of later steps that may start and have no running attempt. */
   waitingAheadCount: z.int()
 })
 export type JobOutlook = z.infer<typeof jobOutlookSchema>
 
-/** A sample that a host holds, and whoever else does. */
+/** A sample that a host holds, with all its holders. */
 export const heldSampleSchema = slotSchema.extend({ attemptId: z.string(), holderHostIds: z.array(z.string()) })
 export type HeldSample = z.infer<typeof heldSampleSchema>
 
@@ -140,24 +140,24 @@
   z.object({
     kind: z.literal('leased'),
     slots: z.array(leasedSlotSchema),
-    /** Attempts that the host named, but that are not its own any more. */
+    /** Listed attempts that no longer belong to the host. */
     revokedAttemptIds: z.array(z.string()),
-    /** Unconfirmed samples that the host must keep, if it asked. */
+    /** Unconfirmed samples that the host must keep; set only if requested. */
     held: z.array(heldSampleSchema).optional(),
     jobs: z.array(jobOutlookSchema),
-    /** The host has lost its slots unless it renews within this time of sending the command. */
+    /** The host loses its slots unless it renews within this time after sending the command. */
     leaseRemainingMs: z.number()
   }),
   /** A later command of the host was applied before this one. */
   z.object({ kind: z.literal('leaseSuperseded') }),
   z.object({
     kind: z.literal('sampleCommitted'),
-    /** Set when the commit made a group of the current step whole: the host whose trainer waits. */
+    /** Set if the commit completed a group of the current step: the host with the trainer's waiting pull. */
     pullHostId: z.string().optional()
   }),
   z.object({ kind: z.literal('sampleRefused'), reason: z.enum(SampleDropReason) }),
   z.object({ kind: z.literal('advanced'), deliverable: z.array(committedSampleSchema), stepComplete: z.boolean(), trainerVersion: z.int() }),
-  /** The pull names a place that its session cannot be at. */
+  /** The pull names a position or step that does not match its session. */
   z.object({ kind: z.literal('pullRefused'), reason: z.enum(['behindCursor', 'aheadOfCursor', 'stepPassed', 'stepIncomplete']), confirmedPosition: z.int(), step: z.int() }),
   z.object({ kind: z.literal('sessionFenced'), sessionNumber: z.int() }),
   z.object({ kind: z.literal('dropped') }),
--- a/src/protocol/routing.ts
+++ b/src/protocol/routing.ts
@@ -1,16 +1,16 @@
 /**
- * The routing configuration: which requests go to which services, and what
- * each route promises its callers. One document, replaced as a whole; of two
- * documents the one with the higher version holds.
+ * The routing configuration: which requests go to which services, with which
+ * guarantees for callers. One document, replaced as a whole; of two documents, the
+ * one with the higher version is in effect.
  */
 import { z } from 'zod'
 
 export enum RouteKind {
   /** May run more than once. */
   Idempotent = 'idempotent',
-  /** May run at most once for each try of a caller. */
+  /** May run at most once for each attempt of a caller. */
   AtMostOnce = 'at_most_once',
-  /** Answered by a series of events. */
+  /** Answered by a stream of events. */
   Stream = 'stream',
   /** Accepts batches of rollout items, which run later. */
   Batch = 'batch'
@@ -18,16 +18,16 @@
 
 export const weightedServiceSchema = z.object({
   service: z.string(),
-  /** Share of the route's requests, relative to the other weights; 0 takes none. */
+  /** Share of the route's requests, relative to the other weights; 0 for none. */
   weight: z.number().min(0)
 })
 
 export const batchPromiseSchema = z.object({
-  /** After the batch was first sent, all results are due. */
+  /** Time after the first submission at which all results are due. */
   dueMs: z.number(),
-  /** After the batch was first sent, an unfinished item may be given up. */
+  /** Time after the first submission from which unfinished items may be abandoned. */
   maxQueueMs: z.number(),
-  /** All events of a sample must come from one version of the weights. */
+  /** All events of a sample must come from the same weight version. */
   isSingleVersion: z.boolean()
 })
 export type BatchPromise = z.infer<typeof batchPromiseSchema>
@@ -35,19 +35,19 @@
 export const routeSchema = z.object({
   name: z.string(),
   host: z.string(),
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   pathPrefix: z.string(),
   kind: z.enum(RouteKind),
-  /** The longest time that a request is held. */
+  /** Maximum time until a request is answered. */
   timeoutMs: z.number().positive(),
   /** Time within which an answer has its full value to the caller. */
   objectiveMs: z.number(),
   /** 0 is the most urgent. */
   priority: z.number(),
   services: z.array(weightedServiceSchema).min(1),
-  /** Most endpoints that one try of a caller may be sent to. */
+  /** Maximum number of endpoints to which one attempt of a caller is sent. */
   maxAttemptsCount: z.int().min(1),
-  /** A broken stream may go on behind the last event that arrived. */
+  /** A broken stream may be resumed after the last event received. */
   isResumable: z.boolean(),
   /** Callers need no key. */
   isPublic: z.boolean().optional(),
@@ -58,22 +58,22 @@
 export const modelEngineSchema = z.object({
   slotsCount: z.int().min(1),
   kvCapacityTokens: z.number(),
-  /** Tokens that one event of a stream holds. */
+  /** Tokens per event of a stream. */
   tokensPerEvent: z.number().positive(),
   models: z.array(z.string())
 })
 export type ModelEngine = z.infer<typeof modelEngineSchema>
 
-/** How many endpoints of a service may be ordered, and what they cost. */
+/** Bounds on the number of a service's endpoints, and their costs. */
 export const serviceScalingSchema = z.object({
-  /** In each data centre. */
+  /** Minimum and maximum number per data centre. */
   minCount: z.int().min(0),
   maxCount: z.int().min(0),
-  /** From an order until the endpoint serves. */
+  /** Time from an order until the endpoint serves. */
   bootMs: z.number().min(0),
-  /** Cost of an endpoint that may be taken away, as a share of one that may not; absent where there are none. */
+  /** Cost of a reclaimable endpoint as a fraction of the regular cost; absent if the service has none. */
   reclaimablePrice: z.number().min(0).optional(),
-  /** Cost of an endpoint for a second, by data centre. */
+  /** Cost of an endpoint per second, by data centre. */
   prices: z.record(z.string(), z.number())
 })
 export type ServiceScaling = z.infer<typeof serviceScalingSchema>
@@ -81,7 +81,7 @@
 export const serviceSchema = z.object({
   name: z.string(),
   healthPath: z.string(),
-  /** Connections that one endpoint takes from all callers together. */
+  /** Connections that one endpoint accepts from all callers together. */
   maxConnectionsCount: z.int().min(1),
   engine: modelEngineSchema.optional(),
   scaling: serviceScalingSchema.optional()
@@ -95,11 +95,11 @@
   idleTimeoutMs: z.number().positive()
 })
 
-/** Whoever calls with one of its keys; what is kept of a key is its digest. */
+/** Callers are identified by a key of the account; only digests of keys are stored. */
 export const clientAccountSchema = z.object({
   name: z.string(),
   keyDigests: z.array(z.string()),
-  /** 0 is the most urgent; goes before that of a route. */
+  /** 0 is the most urgent; takes precedence over the route's priority. */
   priority: z.number().optional()
 })
 export type ClientAccount = z.infer<typeof clientAccountSchema>
--- a/src/protocol/routingCommands.ts
+++ b/src/protocol/routingCommands.ts
@@ -1,7 +1,7 @@
 /**
- * Commands about the routing configuration, the versions of model weights
- * that trainers named, the members of the batch store, endpoints that leave, and
- * requests under which endpoints end.
+ * Commands on the routing configuration, the weight versions that trainers
+ * request, the members of the batch store, leaving endpoints, and the quarantine
+ * of requests.
  */
 import { z } from 'zod'
 import { endpointLeaveRequestSchema, endpointLeaveSchema } from './endpointLeaves.js'
@@ -19,7 +19,7 @@
   ClearSuspects = 'quarantine.clear'
 }
 
-/** A replica of the batch store, by the random id on its disk. */
+/** A replica of the batch store, identified by the random id on its disk. */
 export const storeReplicaSchema = z.object({
   replicaId: z.string(),
   hostId: z.string(),
@@ -28,7 +28,7 @@
 })
 export type StoreReplica = z.infer<typeof storeReplicaSchema>
 
-/** The first members of the batch store; decided once. */
+/** The initial members of the batch store; set only once. */
 export const storeGroupSchema = z.object({
   clusterId: z.string(),
   initialReplicas: z.array(storeReplicaSchema).min(1)
@@ -38,7 +38,7 @@
 export enum RetirementState {
   /** The host still holds data that others may lack. */
   Serving = 'serving',
-  /** The host holds nothing that is needed any more. */
+  /** The host holds no data that is still needed. */
   Completed = 'completed'
 }
 
@@ -53,7 +53,7 @@
   z.object({
     kind: z.literal(RoutingCommandKind.Replace),
     routing: routingSchema,
-    /** The document as the operator sent it, which a read gives back. */
+    /** The document as sent by the operator; reads return it unchanged. */
     document: z.string()
   }),
   z.object({ kind: z.literal(RoutingCommandKind.NameWeights), model: z.string(), version: z.int() }),
@@ -67,7 +67,7 @@
 export type RoutingCommand = z.infer<typeof routingCommandSchema>
 
 export const routingResultSchema = z.discriminatedUnion('kind', [
-  /** In force, or already overtaken by a version at least as high. */
+  /** The configuration is in effect, or a version at least as high already was. */
   z.object({ kind: z.literal('routingHeld'), version: z.int() }),
   z.object({ kind: z.literal('weightsNamed'), version: z.int() }),
   z.object({ kind: z.literal('storeFormed') }),
@@ -77,6 +77,6 @@
 ])
 export type RoutingResult = z.infer<typeof routingResultSchema>
 
-/** A model and the newest version of its weights that a trainer named. */
+/** A model and the newest weight version that a trainer has requested for it. */
 export const namedWeightsSchema = z.object({ model: z.string(), version: z.int() })
 export type NamedWeights = z.infer<typeof namedWeightsSchema>
--- a/src/protocol/trainers.ts
+++ b/src/protocol/trainers.ts
@@ -1,9 +1,9 @@
 /**
- * What trainers send and get: sessions, pulls by cursor, and new weights.
+ * The interface for trainers: sessions, pulls by cursor, and new weights.
  */
 import { z } from 'zod'
 
-/** A run of tokens that one engine incarnation made under one weight version. */
+/** A range of tokens that one engine incarnation generated with one weight version. */
 export const versionSpanSchema = z.object({
   fromToken: z.int().min(0),
   toToken: z.int().min(0),
@@ -14,7 +14,7 @@
 export type VersionSpan = z.infer<typeof versionSpanSchema>
 
 export const sampleSchema = z.object({
-  /** Place in the trainer's sequence, from 1 on without a gap. */
+  /** Position in the trainer's sequence, from 1 without gaps. */
   position: z.int().min(1),
   job: z.string(),
   step: z.int().min(0),
@@ -28,7 +28,7 @@
 })
 export type Sample = z.infer<typeof sampleSchema>
 
-/** POST /v1/trainers/{job}/session: opens a session and fences the older one. */
+/** POST /v1/trainers/{job}/session: opens a session and fences older ones. */
 export const openSessionReplySchema = z.object({
   sessionNumber: z.int(),
   /** The last position that any session of the job has confirmed. */
@@ -40,25 +40,25 @@
 export const pullRequestSchema = z.object({
   sessionNumber: z.int(),
   step: z.int().min(0),
-  /** The last position the trainer holds, 0 for none: confirms all up to it. */
+  /** The last position that the trainer holds, 0 for none; confirms all positions up to it. */
   heldPosition: z.int().min(0),
-  /** Version of the weights the trainer has now. */
+  /** The trainer's current weight version. */
   trainerVersion: z.int().min(0),
   maxSamplesCount: z.int().min(1).default(512),
-  /** How long to wait for samples. */
+  /** Maximum wait for samples. */
   waitMs: z.int().min(0).default(10_000)
 })
 export type PullRequest = z.infer<typeof pullRequestSchema>
 
 export const pullReplySchema = z.object({
   samples: z.array(sampleSchema),
-  /** True when every sample of the step is delivered with this reply or was before. */
+  /** True if every sample of the step was delivered by this reply or an earlier one. */
   stepComplete: z.boolean(),
   step: z.int()
 })
 export type PullReply = z.infer<typeof pullReplySchema>
 
-/** POST /v1/trainers/{job}/weights: the trainer has put a version into the weight store. */
+/** POST /v1/trainers/{job}/weights: the trainer has stored a version in the weight store. */
 export const publishWeightsSchema = z.object({
   sessionNumber: z.int(),
   weightVersion: z.int().min(0)
--- a/src/protocol/usage.ts
+++ b/src/protocol/usage.ts
@@ -1,22 +1,22 @@
 /**
- * What hosts tell of the use that client accounts made of the endpoints, and
- * the commands by which the log of the control hosts holds it.
+ * Reports of hosts on the usage of endpoints by client accounts, and the commands
+ * that record it in the log of the control hosts.
  */
 import { z } from 'zod'
 
 export const usageWindowSchema = z.object({
-  /** Counted from the start of 1970. */
+  /** Number of the time window, counted from the start of 1970. */
   windowId: z.int(),
-  /** Requests that began, by client account. */
+  /** Number of started requests, by client account. */
   counts: z.record(z.string(), z.int())
 })
 
 export const usageReportSchema = z.object({
   /** New with every start of the host's process. */
   incarnation: z.string(),
-  /** No window before this one gets any further counts from this host. */
+  /** The counts of all windows before this one are final on this host. */
   settledBefore: z.int(),
-  /** Sums since the start of the process; only windows that changed since the last call that was answered. */
+  /** Totals since the start of the process; only windows that changed since the last answered call. */
   windows: z.array(usageWindowSchema)
 })
 export type UsageReport = z.infer<typeof usageReportSchema>
@@ -28,11 +28,11 @@
 }
 
 export const usageCommandSchema = z.discriminatedUnion('kind', [
-  /** A host takes the duty over. */
+  /** A host takes over the duty of reporting usage. */
   z.object({ kind: z.literal(UsageCommandKind.Claim), holder: z.string() }),
-  /** What is reported of a window from now on, by whoever reports it. */
+  /** Fixes the counts of a window; every host reports these from now on. */
   z.object({ kind: z.literal(UsageCommandKind.Close), windowId: z.int(), counts: z.record(z.string(), z.int()) }),
-  /** The infrastructure has the window. */
+  /** The infrastructure has received the window. */
   z.object({ kind: z.literal(UsageCommandKind.Reported), windowId: z.int() })
 ])
 export type UsageCommand = z.infer<typeof usageCommandSchema>
--- a/tests/platform/boundaries.test.ts
+++ b/tests/platform/boundaries.test.ts
@@ -6,7 +6,7 @@
 import { SettingsError } from '../../src/utils/errors.js'
 import { checkSettings } from '../../src/utils/settings.js'
 
-/** Names on the platform's wire that mean something else, or nothing, in the product. */
+/** Names of the platform's interface that have another meaning, or none, in the product. */
 const FOREIGN_NAMES = [
   ...Object.values(WireHeader).filter(name => name.startsWith('x-threaddrum-')),
   'path-prefix', 'route-type', 'slo-ms', 'max-queue-s', 'cold-left-ms', 'min-version', 'after-rev', 'next-token', "'expected-rev'",
@@ -17,7 +17,7 @@
   return readdirSync(folder, { recursive: true, encoding: 'utf8' }).filter(path => path.endsWith('.ts')).map(path => join(folder, path))
 }
 
-test('should know the names of the platform\'s wire in one folder only', t => {
+test('should use the names of the platform\'s interface in one folder only', t => {
   const found = sourcesIn('src').flatMap(path => {
     const text = readFileSync(path, 'utf8').toLowerCase()
     return FOREIGN_NAMES.filter(name => text.includes(name)).map(name => `${path}: ${name}`)
@@ -50,7 +50,7 @@
 heartbeatMs = 1200
 `
 
-test('should take settings that leave bounds out, with their defaults', t => {
+test('should apply the defaults of bounds that the settings leave out', t => {
   const checked = checkSettings('settings.toml', settings, fleetHostSettingsSchema)
   t.is(checked.bounds.orderLeaseMs, 3_000)
   t.is(checked.host.dataFolder, undefined)
@@ -65,7 +65,7 @@
 ]
 
 for (const [what, from, to, message] of mistakes) {
-  test(`should name the file, the key and the value of ${what} that is wrong`, t => {
+  test(`should name the file, the key and the value of ${what} that is invalid`, t => {
     const error = t.throws(() => checkSettings('settings.toml', settings.replace(from, to), fleetHostSettingsSchema), { instanceOf: SettingsError })
     t.regex(error?.message ?? '', message)
   })
--- a/tests/platform/bundles.test.ts
+++ b/tests/platform/bundles.test.ts
@@ -8,7 +8,7 @@
 import type * as undici from 'undici'
 import { freePort, loopbackHost } from '../fixtures/loopback.js'
 
-/** What the programs end with when they are given no settings. */
+/** Exit code of a program without settings. */
 const EXIT_SETTINGS = 2
 const PROGRAMS = ['edge', 'control', 'store'] as const
 
@@ -16,7 +16,7 @@
   roles: Record<string, { run: string }>
 }
 
-/** Starts a program as the deployment does, without settings. */
+/** Starts a program with the command line of the deployment, without settings. */
 function start (name: string, moreFlags: string[] = []): SpawnSyncReturns<string> {
   const { roles } = parse(readFileSync('deploy/system.toml', 'utf8')) as unknown as Deployment
   const [command, ...words] = roles[name]?.run.split(' ') ?? []
@@ -31,40 +31,40 @@
     const { status, stderr } = start(name)
     t.is(status, EXIT_SETTINGS)
     t.regex(stderr, /THREADDRUM_NODE_FILE is not set/)
-    t.notRegex(stderr, /compiled anew/)
+    t.notRegex(stderr, /compiled from source/)
   })
 }
 
-test('should start from its bundle under other flags too, and say that the code cache does not fit', t => {
+test('should start from its bundle under other flags too, and report that the code cache was rejected', t => {
   const { status, stderr } = start('edge', ['--stack-size=900'])
   t.is(status, EXIT_SETTINGS)
-  t.regex(stderr, /compiled anew/)
+  t.regex(stderr, /compiled from source/)
   t.regex(stderr, /THREADDRUM_NODE_FILE is not set/)
 })
 
-test('should have all of undici in the bundles that the programs use: requests, streams taken piece by piece, and ends', async t => {
-  const parts = createRequire(import.meta.url)('../../../tools/undiciParts.cjs') as typeof undici
+test('should bundle every part of undici that the programs use: requests, streaming handlers and aborts', async t => {
+  const bundledUndici = createRequire(import.meta.url)('../../../tools/undiciParts.cjs') as typeof undici
   const [host, port] = [loopbackHost(), await freePort()]
   const server = createServer((request, response) => {
     buffer(request).then(body => response.writeHead(200, { 'x-seen': request.method }).end(body), () => response.destroy())
   })
   await new Promise<void>(resolve => server.listen(port, host, resolve))
   t.teardown(() => server.close())
-  const pool = new parts.Pool(`http://${host}:${port}`, { connections: 2 })
+  const pool = new bundledUndici.Pool(`http://${host}:${port}`, { connections: 2 })
   const answer = await pool.request({ path: '/', method: 'POST', body: 'whole' })
   t.is(answer.headers['x-seen'], 'POST')
   t.is(await answer.body.text(), 'whole')
-  const pieces: string[] = []
+  const chunks: string[] = []
   await new Promise<void>((resolve, reject) => pool.dispatch({ path: '/', method: 'POST', body: 'by pieces' }, {
     onConnect () {},
     onHeaders: () => true,
-    onData: chunk => pieces.push(String(chunk)) > 0,
+    onData: chunk => chunks.push(String(chunk)) > 0,
     onComplete: () => resolve(),
     onError: reject
   }))
-  t.is(pieces.join(''), 'by pieces')
+  t.is(chunks.join(''), 'by pieces')
   const abort = AbortSignal.abort()
   await t.throwsAsync(pool.request({ path: '/', method: 'GET', signal: abort }), { any: true })
-  t.true(new parts.errors.ResponseContentLengthMismatchError('too long') instanceof Error)
+  t.true(new bundledUndici.errors.ResponseContentLengthMismatchError('too long') instanceof Error)
   await pool.close()
 })
--- a/tests/platform/callerKeys.test.ts
+++ b/tests/platform/callerKeys.test.ts
@@ -25,22 +25,22 @@
 
 const KEY = 'secret-of-learners'
 
-interface Served {
+interface CallerFixture {
   url: string
-  /** What the endpoint got, head and body. */
+  /** Requests received by the endpoint, head and body. */
   requests: string[]
   events: Array<{ number: number, fields: LogFields }>
   usage: UsageCounter
-  /** Puts a further version into force. */
-  holdKeys: (accounts: ClientAccount[] | undefined) => void
+  /** Applies a new version of the routing configuration with these accounts. */
+  replaceAccounts: (accounts: ClientAccount[] | undefined) => void
 }
 
-/** A host for callers before one endpoint, with a route that needs a key, a public one, a stream and one for batches. */
-async function serve (t: ExecutionContext, outOfTouchMs = 0): Promise<Served> {
+/** Starts a caller server in front of one endpoint, with four routes: key required, public, stream and batch. */
+async function serve (t: ExecutionContext, outOfTouchMs = 0): Promise<CallerFixture> {
   const scope = new Scope('test')
   t.teardown(() => scope.close('test over'))
   const onFatal = (error: unknown): void => { throw error }
-  const events: Served['events'] = []
+  const events: CallerFixture['events'] = []
   const logger: Logger = { event: (number, fields = {}) => events.push({ number, fields }), child: () => logger }
   const raw = await rawEndpoint(({ socket, attemptId }) => { socket.write(wholeAnswer(attemptId)) })
   t.teardown(() => raw.close())
@@ -49,13 +49,13 @@
   const [random, metrics] = [seededRandom(1), memoryMetrics()]
   const client = new PlatformEndpointClient(systemClock)
   const pool = new EndpointPool({ view, clock: systemClock, random, dataCentre: DATA_CENTRE, logger: silentLogger, metrics })
-  const parts = { view, pool, client, quarantine: quarantineOf(view, systemClock, client), random, logger, metrics }
+  const forwarderContext = { view, pool, client, quarantine: quarantineOf(view, systemClock, client), random, logger, metrics }
   const batches = new BatchRoutes({ client: new BatchClient(view, DATA_CENTRE, new TcpTransport(), scope, onFatal), clock: systemClock, logger, metrics })
   const admission = new CallerAdmission({ policy: { isRevocationStrict: false, revokeMs: 5_000 }, outOfTouchMs: () => outOfTouchMs })
   const usage = new UsageCounter({ clock: systemClock, windowMs: 1e12, wallAt: nowMs => nowMs, incarnation: 'x' })
   const address = `${loopbackHost()}:${await freePort()}`
   const server = new CallerServer({
-    address, scope, clock: systemClock, logger, metrics, view, batches, admission, usage, onFatal, forwarder: new RequestForwarder(parts), streams: new StreamForwarder(parts)
+    address, scope, clock: systemClock, logger, metrics, view, batches, admission, usage, onFatal, forwarder: new RequestForwarder(forwarderContext), streams: new StreamForwarder(forwarderContext)
   })
   await server.listen()
   let version = 0
@@ -66,12 +66,12 @@
     route({ name: 'stream', pathPrefix: '/stream/', kind: RouteKind.Stream, services }),
     route({ name: 'hints', pathPrefix: '/hints/', kind: RouteKind.Batch, services })
   ]
-  const holdKeys = (accounts: ClientAccount[] | undefined): void => { view.merge('control-1', { routing: { ...routing(++version, routes), accounts } }) }
-  holdKeys([{ name: 'learners', keyDigests: [digestOfKey(KEY)] }])
-  return { url: `http://${address}`, requests: raw.requests, events, usage, holdKeys }
+  const replaceAccounts = (accounts: ClientAccount[] | undefined): void => { view.merge('control-1', { routing: { ...routing(++version, routes), accounts } }) }
+  replaceAccounts([{ name: 'learners', keyDigests: [digestOfKey(KEY)] }])
+  return { url: `http://${address}`, requests: raw.requests, events, usage, replaceAccounts }
 }
 
-async function ask ({ url }: Served, path: string, headers: Record<string, string>, method: 'POST' | 'GET' | 'DELETE' = 'POST'): Promise<{ status: number, retryAfter: unknown }> {
+async function send ({ url }: CallerFixture, path: string, headers: Record<string, string>, method: 'POST' | 'GET' | 'DELETE' = 'POST'): Promise<{ status: number, retryAfter: unknown }> {
   const answer = await request(`${url}${path}`, { method, headers: { host: HOST, 'x-threaddrum-attempt-id': 'a1', ...headers } })
   await answer.body.dump()
   return { status: answer.statusCode, retryAfter: answer.headers['retry-after'] }
@@ -79,11 +79,11 @@
 
 const withKey = { authorization: `Token ${KEY}`, 'x-threaddrum-tenant': 'trainers' }
 
-test('should show endpoints the account of a caller and never the key or what the caller says of its account', async t => {
+test('should send endpoints the account of a caller, and never its key or an account that the caller names', async t => {
   const served = await serve(t)
-  t.is((await ask(served, '/open/7', withKey)).status, 200)
-  t.is((await ask(served, '/score/7', withKey)).status, 200)
-  t.is((await ask(served, '/stream/7', withKey)).status, 200)
+  t.is((await send(served, '/open/7', withKey)).status, 200)
+  t.is((await send(served, '/score/7', withKey)).status, 200)
+  t.is((await send(served, '/stream/7', withKey)).status, 200)
   t.is(served.requests.length, 3)
   for (const text of served.requests) {
     t.regex(text, /x-threaddrum-tenant: learners\r\n/i)
@@ -92,10 +92,10 @@
   }
 })
 
-test('should name no account on a public route without a key or with one that nobody holds', async t => {
+test('should send no account on a public route without a key or with an unknown one', async t => {
   const served = await serve(t)
-  t.is((await ask(served, '/score/7', { 'x-threaddrum-tenant': 'trainers' })).status, 200)
-  t.is((await ask(served, '/score/7', { authorization: 'Token nobody-has-this' })).status, 200)
+  t.is((await send(served, '/score/7', { 'x-threaddrum-tenant': 'trainers' })).status, 200)
+  t.is((await send(served, '/score/7', { authorization: 'Token nobody-has-this' })).status, 200)
   for (const text of served.requests) t.notRegex(text, /x-threaddrum-tenant|authorization/i)
 })
 
@@ -109,46 +109,46 @@
 ]
 
 for (const [what, path, method] of unadmitted) {
-  test(`should answer ${what} with 401 when there is no key, another scheme, or a key that nobody holds`, async t => {
+  test(`should answer ${what} with 401 for no key, another scheme, or an unknown key`, async t => {
     const served = await serve(t)
     const headers: Array<Record<string, string>> = [{}, { authorization: `Bearer ${KEY}` }, { authorization: 'Token nobody-has-this' }, { authorization: 'Token' }]
-    for (const header of headers) t.is((await ask(served, path, header, method)).status, 401)
+    for (const header of headers) t.is((await send(served, path, header, method)).status, 401)
     t.is(served.requests.length, 0)
     t.false(JSON.stringify(served.events).includes('nobody-has-this'))
   })
 }
 
-test('should tell a caller to come back when a host out of touch does not know its key', async t => {
+test('should ask a caller to retry when a disconnected host does not know its key', async t => {
   const served = await serve(t, 10_000)
-  const { status, retryAfter } = await ask(served, '/open/7', { authorization: 'Token perhaps-new' })
+  const { status, retryAfter } = await send(served, '/open/7', { authorization: 'Token perhaps-new' })
   t.is(status, 503)
   t.true(Number(retryAfter) > 0)
-  t.is((await ask(served, '/open/7', withKey)).status, 200)
+  t.is((await send(served, '/open/7', withKey)).status, 200)
 })
 
-// Guards against a kept connection that goes on with a key that was taken away.
-test('should look at the key of each request on a kept connection', async t => {
+// Guards against a revoked key that stays valid on a persistent connection.
+test('should check the key of each request on a persistent connection', async t => {
   const served = await serve(t)
-  t.is((await ask(served, '/open/7', withKey)).status, 200)
-  served.holdKeys([{ name: 'learners', keyDigests: [] }])
-  t.is((await ask(served, '/open/7', withKey)).status, 401)
-  served.holdKeys([{ name: 'trainers', keyDigests: [digestOfKey(KEY)] }])
-  t.is((await ask(served, '/open/7', withKey)).status, 200)
+  t.is((await send(served, '/open/7', withKey)).status, 200)
+  served.replaceAccounts([{ name: 'learners', keyDigests: [] }])
+  t.is((await send(served, '/open/7', withKey)).status, 401)
+  served.replaceAccounts([{ name: 'trainers', keyDigests: [digestOfKey(KEY)] }])
+  t.is((await send(served, '/open/7', withKey)).status, 200)
   t.regex(served.requests.at(-1) ?? '', /x-threaddrum-tenant: trainers\r\n/i)
 })
 
-test('should pass on what a caller sends as authorization where callers need no key of the system', async t => {
+test('should forward the authorization header where callers need no key', async t => {
   const served = await serve(t)
-  served.holdKeys(undefined)
-  t.is((await ask(served, '/open/7', { authorization: 'Bearer for the endpoint' })).status, 200)
+  served.replaceAccounts(undefined)
+  t.is((await send(served, '/open/7', { authorization: 'Bearer for the endpoint' })).status, 200)
   t.regex(served.requests.at(-1) ?? '', /authorization: Bearer for the endpoint\r\n/i)
 })
 
-test('should count the requests of an account that an endpoint began, and no refused one', async t => {
+test('should count the requests of an account that an endpoint started, and no refused ones', async t => {
   const served = await serve(t)
-  await ask(served, '/open/7', withKey)
-  await ask(served, '/open/7', {})
-  await ask(served, '/nowhere/7', withKey)
-  await ask(served, '/score/7', {})
+  await send(served, '/open/7', withKey)
+  await send(served, '/open/7', {})
+  await send(served, '/nowhere/7', withKey)
+  await send(served, '/score/7', {})
   t.deepEqual(served.usage.reportSince(0).report.windows.map(({ counts }) => counts), [{ learners: 1 }])
 })
--- a/tests/platform/callerServer.test.ts
+++ b/tests/platform/callerServer.test.ts
@@ -23,36 +23,36 @@
 import { freePort, loopbackHost } from '../fixtures/loopback.js'
 import { rawEndpoint, type RawRequest } from '../fixtures/rawEndpoint.js'
 
-interface Served {
+interface CallerFixture {
   url: string
   view: FleetView
   events: Array<{ number: number, fields: LogFields }>
 }
 
-/** A server for callers on a free address, until the test is over. */
-async function serve (t: ExecutionContext): Promise<Served> {
+/** Starts a caller server on a free address for the duration of the test. */
+async function serve (t: ExecutionContext): Promise<CallerFixture> {
   const scope = new Scope('test')
   t.teardown(() => scope.close('test over'))
   const onFatal = (error: unknown): void => { throw error }
-  const events: Served['events'] = []
+  const events: CallerFixture['events'] = []
   const logger: Logger = { event: (number, fields = {}) => events.push({ number, fields }), child: () => logger }
   const view = new FleetView(silentLogger)
   const random = seededRandom(1)
   const metrics = memoryMetrics()
   const client = new PlatformEndpointClient(systemClock)
   const pool = new EndpointPool({ view, clock: systemClock, random, dataCentre: DATA_CENTRE, logger: silentLogger, metrics: memoryMetrics() })
-  const parts = { view, pool, client, quarantine: quarantineOf(view, systemClock, client), random, logger, metrics }
+  const forwarderContext = { view, pool, client, quarantine: quarantineOf(view, systemClock, client), random, logger, metrics }
   const batches = new BatchRoutes({ client: new BatchClient(view, DATA_CENTRE, new TcpTransport(), scope, onFatal), clock: systemClock, logger, metrics })
   const admission = new CallerAdmission({ policy: { isRevocationStrict: false, revokeMs: 5_000 }, outOfTouchMs: () => 0 })
   const address = `${loopbackHost()}:${await freePort()}`
   const server = new CallerServer({
-    address, scope, clock: systemClock, logger, metrics, view, batches, admission, onFatal, forwarder: new RequestForwarder(parts), streams: new StreamForwarder(parts)
+    address, scope, clock: systemClock, logger, metrics, view, batches, admission, onFatal, forwarder: new RequestForwarder(forwarderContext), streams: new StreamForwarder(forwarderContext)
   })
   await server.listen()
   return { url: `http://${address}/open/7`, view, events }
 }
 
-async function serveStream (t: ExecutionContext, answer: (request: RawRequest) => void): Promise<Served> {
+async function serveStream (t: ExecutionContext, answer: (request: RawRequest) => void): Promise<CallerFixture> {
   const served = await serve(t)
   const raw = await rawEndpoint(answer)
   t.teardown(() => raw.close())
@@ -67,7 +67,7 @@
   return `HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nx-threaddrum-attempt-id: ${attemptId}\r\nx-threaddrum-server-stamp: stamp\r\ntransfer-encoding: chunked\r\n\r\n`
 }
 
-test('should refuse with when to come back, and say so in the log, while no routing configuration is known', async t => {
+test('should refuse with Retry-After, and log it, while no routing configuration is known', async t => {
   const { url, events } = await serve(t)
   const answer = await request(url, { method: 'POST', headers })
   t.is(answer.statusCode, 503)
@@ -78,7 +78,7 @@
   t.like(refused?.fields, { attemptId: 'a1', reason: RefusalReason.HostNotReady })
 })
 
-test('should pass a stream on with the head of its endpoint, before it has ended', async t => {
+test('should forward a stream with the head of its endpoint before it has ended', async t => {
   let endStream = (): void => {}
   const { url } = await serveStream(t, ({ socket, attemptId }) => {
     socket.write(`${streamHead(attemptId)}7\r\npiece 1\r\n`)
@@ -95,7 +95,7 @@
   t.is(text, 'piece 1piece 2')
 })
 
-test('should let the caller of a stream that broke off see that it is not whole', async t => {
+test('should show the caller that a broken stream is incomplete', async t => {
   const { url, events } = await serveStream(t, ({ socket, attemptId }) => {
     socket.write(`${streamHead(attemptId)}7\r\npiece 1\r\n`, () => socket.destroy())
   })
--- a/tests/platform/codecs.test.ts
+++ b/tests/platform/codecs.test.ts
@@ -35,13 +35,13 @@
 })
 
 const invalidChanges: Array<[string, (document: typeof routingDocument) => unknown, RegExp]> = [
-  ['is no object', () => 'x', /body/],
+  ['is not an object', () => 'x', /body/],
   ['lacks its services', ({ services, ...rest }) => rest, /services/],
   ['names an unknown service', document => ({ ...document, services: document.services.slice(1) }), /routes\.1: unknown service engines/],
-  ['has two routes in one place', document => ({ ...document, routes: [...document.routes, { ...document.routes[0], name: 'r-4' }] }), /routes\.3: another route/],
-  ['has weights that add up to 0', document => ({ ...document, routes: [{ ...document.routes[1], backends: [{ service: 'plain', weight: 0 }] }] }), /weights add up to 0/],
-  ['has a route without time', document => ({ ...document, routes: [{ ...document.routes[0], 'timeout-ms': 0 }] }), /timeout-ms/],
-  ['has a route without a service', document => ({ ...document, routes: [{ ...document.routes[0], service: undefined }] }), /weights add up to 0/]
+  ['has two routes with the same host and prefix', document => ({ ...document, routes: [...document.routes, { ...document.routes[0], name: 'r-4' }] }), /routes\.3: another route/],
+  ['has weights that add up to 0', document => ({ ...document, routes: [{ ...document.routes[1], backends: [{ service: 'plain', weight: 0 }] }] }), /routes\.0: no service with a weight above 0/],
+  ['has a route with a timeout of 0', document => ({ ...document, routes: [{ ...document.routes[0], 'timeout-ms': 0 }] }), /timeout-ms/],
+  ['has a route without a service', document => ({ ...document, routes: [{ ...document.routes[0], service: undefined }] }), /routes\.0: no service with a weight above 0/]
 ]
 
 for (const [what, change, problem] of invalidChanges) {
@@ -64,9 +64,9 @@
 })
 
 const invalidAccounts: Array<[string, unknown[], RegExp]> = [
-  ['share a key', [account, { name: 'trainers', 'api-keys': ['k9', 'k2'] }], /^tenants\.1\.api-keys\.1: is a key of learners too$/],
-  ['hold a key twice', [{ name: 'learners', 'api-keys': ['k1', 'k1'] }], /^tenants\.0\.api-keys\.1: stands there twice$/],
-  ['share a name', [account, { name: 'learners', 'api-keys': [] }], /^tenants\.1\.name: another tenant is called learners$/],
+  ['share a key', [account, { name: 'trainers', 'api-keys': ['k9', 'k2'] }], /^tenants\.1\.api-keys\.1: also a key of learners$/],
+  ['hold a key twice', [{ name: 'learners', 'api-keys': ['k1', 'k1'] }], /^tenants\.0\.api-keys\.1: duplicate key$/],
+  ['share a name', [account, { name: 'learners', 'api-keys': [] }], /^tenants\.1\.name: another tenant has the name learners$/],
   ['have no name', [{ name: '', 'api-keys': [] }], /^tenants\.0\.name/],
   ['have an empty key', [{ name: 'learners', 'api-keys': ['k1', ''] }], /^tenants\.0\.api-keys\.1/],
   ['have a key that is a number', [{ name: 'learners', 'api-keys': [5] }], /^tenants\.0\.api-keys\.0/]
@@ -87,7 +87,7 @@
   t.deepEqual(decoded.kind === 'valid' && decoded.routing.services[0]?.scaling, { minCount: 1, maxCount: 15, bootMs: 4_000, reclaimablePrice: 0.15, prices: { north: 1.25 } })
 })
 
-test('should take the keys of callers off the headers of items, and nothing else', t => {
+test('should remove the keys of callers from the headers of items, and nothing else', t => {
   const [item] = submission.items
   const headers = { ...item?.headers, Authorization: 'Token k1', 'X-Custom': 'kept' }
   const body = { ...submission, items: [{ ...item, headers }] }
@@ -97,7 +97,7 @@
   t.deepEqual(decoded.submission.items[0]?.headers, Object.entries({ ...item?.headers, 'X-Custom': 'kept' }).flat())
 })
 
-test('should decode that an endpoint may be taken away, and when', t => {
+test('should decode that an endpoint may be reclaimed, and when', t => {
   t.like(decodeHeartbeat('i-1', { ...heartbeat, spot: true, leaves_ms: 2_400 }), { kind: 'valid', endpoint: { isReclaimable: true, leavesInMs: 2_400 } })
   t.like(decodeHeartbeat('i-1', heartbeat), { kind: 'valid', endpoint: { isReclaimable: false, leavesInMs: undefined } })
 })
@@ -141,18 +141,18 @@
   t.deepEqual(item?.headers, Object.entries(submission.items[0]?.headers ?? {}).flat())
 })
 
-test('should expect the most tokens of an item without a hint', t => {
+test('should expect the maximum number of tokens for an item without a length hint', t => {
   const [item] = submission.items
   const decoded = decodeSubmission('b1', 'h', '/p/', { ...submission, items: [{ ...item, headers: { 'X-Threaddrum-Token-Count': '540,400' } }] })
   t.is(decoded.kind === 'valid' && decoded.submission.items[0]?.expectedTokensCount, 400)
 })
 
-test('should refuse a batch without items, or with a body that is no base64', t => {
+test('should refuse a batch without items, or with a body that is not base64', t => {
   t.is(decodeSubmission('b1', 'h', '/p/', { ...submission, items: [] }).kind, 'invalid')
   t.is(decodeSubmission('b1', 'h', '/p/', { ...submission, items: [{ ...submission.items[0], body: '%%' }] }).kind, 'invalid')
 })
 
-test('should encode results with their texts put together', t => {
+test('should encode results with the texts of their parts joined', t => {
   const parts = [toPart(['one', 'two'], [1]), toPart(['three'], [2])]
   const page = encodeResults({
     totalCount: 3,
--- a/tests/platform/controlServer.test.ts
+++ b/tests/platform/controlServer.test.ts
@@ -19,26 +19,26 @@
 const HEARTBEAT_MS = 1_000
 const heartbeat = { service: 'engines', address: '10.128.0.9:8080', zone: 'north', version: 'v1', slots: 12, state: 'ready', 'cold-left-ms': 0, models: [{ name: 'm1', version: 4 }], seq: 4, born: 1_700_000_000_000 }
 
-interface Served {
+interface ControlFixture {
   directory: EndpointDirectory
-  told: FleetEndpoint[]
+  sentEndpoints: FleetEndpoint[]
   events: Array<{ number: number, fields: LogFields }>
   send: (path: string, body?: string | Buffer) => Promise<number>
   announce: (name: string, body: unknown) => Promise<number>
 }
 
-/** A control host that leads, as endpoints see it. */
-async function serve (t: ExecutionContext): Promise<Served> {
+/** Starts the server of a leading control host for endpoints. */
+async function serve (t: ExecutionContext): Promise<ControlFixture> {
   const scope = new Scope('test')
   t.teardown(() => scope.close('test over'))
-  const events: Served['events'] = []
+  const events: ControlFixture['events'] = []
   const logger: Logger = { event: (number, fields = {}) => events.push({ number, fields }), child: () => logger }
   const leaves = new NotedLeaves()
   const directory = new EndpointDirectory(systemClock, HEARTBEAT_MS, leaves)
-  const told: FleetEndpoint[] = []
-  const followers = { announce: (endpoint: FleetEndpoint) => { told.push(endpoint) }, tellLeave: async () => ({ followersCount: 0, knowingCount: 0 }) }
+  const sentEndpoints: FleetEndpoint[] = []
+  const followers = { announce: (endpoint: FleetEndpoint) => { sentEndpoints.push(endpoint) }, tellLeave: async () => ({ followersCount: 0, knowingCount: 0 }) }
   const node = { isLeader: true, state: { routing: { leaves } } } as unknown as ControlNode
-  const leaderCalls = { submit: async (command: RoutingCommand): Promise<SubmitReply> => await noteAt(leaves, command) }
+  const leaderCalls = { submit: async (command: RoutingCommand): Promise<SubmitReply> => await recordLeave(leaves, command) }
   const announcements = new EndpointAnnouncements({ node, directory, leaderCalls, followers, clock: systemClock, logger })
   const program = { directory, announcements, node } as unknown as ControlProgram
   const address = `${loopbackHost()}:${await freePort()}`
@@ -50,31 +50,31 @@
     return answer.statusCode
   }
   const announce = async (name: string, body: unknown): Promise<number> => await send(`/v1/instances/${name}/heartbeat`, JSON.stringify(body))
-  return { directory, told, events, send, announce }
+  return { directory, sentEndpoints, events, send, announce }
 }
 
-/** A log that notes leaves at once. */
-async function noteAt (leaves: NotedLeaves, command: RoutingCommand): Promise<SubmitReply> {
+/** Replaces the replicated log: records leaves at once. */
+async function recordLeave (leaves: NotedLeaves, command: RoutingCommand): Promise<SubmitReply> {
   if (command.kind !== RoutingCommandKind.NoteLeave) throw new Error(`unexpected command ${command.kind}`)
   return { kind: 'committed', result: { kind: 'leaveNoted', leave: leaves.note(command.leave) } }
 }
 
-function idsOf ({ directory }: Served): string[] {
+function idsOf ({ directory }: ControlFixture): string[] {
   return directory.all().map(({ endpointId }) => endpointId)
 }
 
-test('should tell of an endpoint that came back under its name, and that its earlier start is gone', async t => {
+test('should announce a restarted endpoint, and that its earlier incarnation is removed', async t => {
   const served = await serve(t)
   await served.announce('i-1', heartbeat)
   t.is(await served.announce('i-1', { ...heartbeat, born: heartbeat.born + 5_000, seq: 1 }), 200)
-  t.deepEqual(served.told.map(({ bornAtMs, lifecycle }) => [bornAtMs, lifecycle]), [
+  t.deepEqual(served.sentEndpoints.map(({ bornAtMs, lifecycle }) => [bornAtMs, lifecycle]), [
     [heartbeat.born, EndpointLifecycle.Ready],
     [heartbeat.born, EndpointLifecycle.Gone],
     [heartbeat.born + 5_000, EndpointLifecycle.Ready]
   ])
 })
 
-test('should leave the endpoint that serves now when an earlier start of it takes its leave late', async t => {
+test('should keep the serving incarnation of an endpoint when an earlier one deregisters late', async t => {
   const served = await serve(t)
   await served.announce('i-1', heartbeat)
   t.is(await served.send('/v1/instances/i-1/deregister', JSON.stringify({ born: heartbeat.born - 1 })), 200)
@@ -84,17 +84,17 @@
 })
 
 const malformed: Array<[string, Record<string, unknown>]> = [
-  ['a start that is no whole number', { born: 1.5 }],
-  ['a start that is a text', { born: '1700000000000' }],
+  ['a start time that is not an integer', { born: 1.5 }],
+  ['a start time that is a string', { born: '1700000000000' }],
   ['an unknown state', { state: 'asleep' }],
   ['no service', { service: undefined }],
-  ['slots that are a text', { slots: '12' }],
-  ['models that are no list', { models: 'm1' }],
+  ['slots that are a string', { slots: '12' }],
+  ['models that are not a list', { models: 'm1' }],
   ['an address without a port', { address: '10.128.0.9' }]
 ]
 
 for (const [what, fields] of malformed) {
-  test(`should take no endpoint from an announcement with ${what}, say why, and keep the others`, async t => {
+  test(`should refuse an announcement with ${what}, log why, and keep the other endpoints`, async t => {
     const served = await serve(t)
     await served.announce('i-1', heartbeat)
     t.is(await served.announce('i-2', { ...heartbeat, ...fields }), 400)
@@ -105,7 +105,7 @@
   })
 }
 
-test('should go on after bytes that cannot be read, in the body and in the path', async t => {
+test('should keep serving after bytes that cannot be decoded, in the body and in the path', async t => {
   const served = await serve(t)
   t.is(await served.send('/v1/instances/i-1/heartbeat', Buffer.from([0xff, 0xfe, 0x00])), 400)
   t.is(await served.send('/v1/instances/%E0%A4%A/heartbeat', JSON.stringify(heartbeat)), 400)
@@ -114,21 +114,21 @@
   t.deepEqual(idsOf(served), [`i-1@${heartbeat.born}`])
 })
 
-test('should say why it refuses announcements once, and not again with each', async t => {
+test('should log the reason for refused announcements once, not for each of them', async t => {
   const served = await serve(t)
   for (let round = 0; round < 20; round++) await served.announce('i-2', { ...heartbeat, state: 'asleep' })
   t.is(served.events.filter(({ number }) => number === ControlEvent.AnnouncementRefused).length, 1)
 })
 
-test('should hold what is known whatever is announced by another writer', async t => {
+test('should keep the known endpoints whatever other endpoints announce', async t => {
   const served = await serve(t)
   await served.announce('i-1', heartbeat)
   const random = seededRandom(17)
-  const strange: unknown[] = [null, true, -1, 1.5, 1e300, '', 'x', [], {}, [null], { name: 1 }]
+  const oddValues: unknown[] = [null, true, -1, 1.5, 1e300, '', 'x', [], {}, [null], { name: 1 }]
   const keys = Object.keys(heartbeat)
   for (let round = 0; round < 300; round++) {
     const key = keys[random.int(0, keys.length - 1)] ?? ''
-    const body = { ...heartbeat, seq: 5 + round, [key]: strange[random.int(0, strange.length - 1)] }
+    const body = { ...heartbeat, seq: 5 + round, [key]: oddValues[random.int(0, oddValues.length - 1)] }
     const status = await served.announce(`x-${round}`, body)
     t.true(status === 200 || status === 400, `${key}: ${status}`)
   }
--- a/tests/platform/endpointClient.test.ts
+++ b/tests/platform/endpointClient.test.ts
@@ -25,7 +25,7 @@
   }, scope)
 }
 
-function streamed (target: FleetEndpoint): StreamedRequest {
+function streamRequest (target: FleetEndpoint): StreamedRequest {
   return {
     endpoint: target,
     method: 'POST',
@@ -48,7 +48,7 @@
   }
 }
 
-test('should pass method, path, body and end-to-end headers on untouched, and nothing of the connection', async t => {
+test('should forward method, path, body and end-to-end headers unchanged, and no hop-by-hop headers', async t => {
   await withEndpoint(({ socket, attemptId }) => { socket.write(wholeAnswer(attemptId)) }, async raw => {
     const outcome = await call(raw.endpoint)
     t.like(outcome, { kind: 'answered', status: 200, receipt: 'stamp' })
@@ -64,7 +64,7 @@
   })
 })
 
-test('should take no answer that belongs to another request, and leave its connection', async t => {
+test('should accept no answer to another request, and close its connection', async t => {
   await withEndpoint(({ socket, attemptId }, number) => { socket.write(wholeAnswer(number === 1 ? 'foreign' : attemptId)) }, async raw => {
     t.is((await call(raw.endpoint, 'a1')).kind, 'broken')
     t.is((await call(raw.endpoint, 'a2')).kind, 'answered')
@@ -82,7 +82,7 @@
   })
 })
 
-test('should call an answer broken that ends before its length, is no HTTP, or lacks a receipt', async t => {
+test('should report an answer as broken that is truncated, is not HTTP, or lacks a receipt', async t => {
   const answers = [
     (attemptId: string) => wholeAnswer(attemptId).slice(0, -2),
     () => 'neither head nor tail\r\n\r\n',
@@ -97,7 +97,7 @@
   }
 })
 
-test('should believe an endpoint that says it did not run a request, and only that', async t => {
+test('should report a request as not executed only if the endpoint says so', async t => {
   const refusal = (status: string, extra = '') => (attemptId: string): string => `HTTP/1.1 ${status}\r\nX-Threaddrum-Attempt-Id: ${attemptId}\r\n${extra}Content-Length: 0\r\n\r\n`
   const cases: Array<[(attemptId: string) => string, EndpointOutcome['kind']]> = [
     [refusal('503 Service Unavailable', 'X-Threaddrum-Not-Executed: 1\r\n'), 'notExecuted'],
@@ -113,13 +113,13 @@
   }
 })
 
-test('should say that nothing ran when no connection comes about', async t => {
+test('should report that nothing ran when connecting fails', async t => {
   const raw = await rawEndpoint(() => {})
   raw.close()
   t.is((await call(endpoint('e2', { address: raw.endpoint.address }))).kind, 'unreached')
 })
 
-test('should close the connection of a request whose caller left', async t => {
+test('should close the connection of a request whose caller disconnected', async t => {
   let onClosed = (): void => {}
   const closed = new Promise<void>(resolve => { onClosed = resolve })
   await withEndpoint(({ socket }) => { socket.on('close', () => onClosed()) }, async raw => {
@@ -150,7 +150,7 @@
 
 const END = '0\r\n\r\n'
 
-test('should name the version that made each event, also when it changes in the middle', async t => {
+test('should report the weight version of each event, also when it changes within a stream', async t => {
   await withEndpoint(({ socket }) => {
     socket.write(streamHead(6) + chunk('id: 1\ndata: a\n\n') + chunk('x-threaddrum-weight-versions: 7\nid: 2\ndata: b\n\n') + chunk('id: 3\ndata: c\n\n') + END)
   }, async raw => {
@@ -160,7 +160,7 @@
   })
 })
 
-test('should ask to go on behind an event, and take no other one for the next', async t => {
+test('should request to resume after an event, and accept only the next event id', async t => {
   await withEndpoint(({ socket }) => { socket.write(streamHead(1) + chunk('id: 5\ndata: e\n\n') + chunk('id: 7\ndata: g\n\n') + END) }, async raw => {
     const { outcome, events } = await runItem(raw, 4)
     t.regex(raw.requests[0] ?? '', /last-event-id: 4\r\n/i)
@@ -169,7 +169,7 @@
   })
 })
 
-test('should never take a stream for whole that breaks off, and keep its whole events', async t => {
+test('should report a truncated stream as broken, and deliver its complete events', async t => {
   await withEndpoint(({ socket }) => { socket.end(streamHead(1) + chunk('id: 1\ndata: a\n\n') + chunk('id: 2\nda')) }, async raw => {
     const { outcome, events } = await runItem(raw)
     t.is(outcome.kind, 'broken')
@@ -177,34 +177,34 @@
   })
 })
 
-test('should pass a streamed answer on as it comes, and call it whole only when it is', async t => {
+test('should forward a streamed answer as it arrives, and report its end only if it is complete', async t => {
   for (const [ending, kind] of [['0\r\n\r\n', 'ended'], ['', 'broken']] as const) {
     await withEndpoint(({ socket, attemptId }) => {
       const head = ['HTTP/1.1 200 OK', 'content-type: text/event-stream', `x-threaddrum-attempt-id: ${attemptId}`, 'x-threaddrum-server-stamp: stamp', 'transfer-encoding: chunked']
       socket.write(`${head.join('\r\n')}\r\n\r\n7\r\npiece 1\r\n`)
       setImmediate(() => socket.end(`7\r\npiece 2\r\n${ending}`))
     }, async raw => {
-      const pieces: string[] = []
+      const chunks: string[] = []
       const heads: number[] = []
-      const outcome = await client.stream({ ...streamed(raw.endpoint), afterEventId: 3 }, new Scope('test'), {
+      const outcome = await client.stream({ ...streamRequest(raw.endpoint), afterEventId: 3 }, new Scope('test'), {
         onHead: ({ status }) => heads.push(status),
-        onData: async chunk => { pieces.push(Buffer.from(chunk).toString()); return undefined }
+        onData: async chunk => { chunks.push(Buffer.from(chunk).toString()); return undefined }
       })
       t.is(outcome.kind, kind)
-      t.is(pieces.join(''), 'piece 1piece 2')
+      t.is(chunks.join(''), 'piece 1piece 2')
       t.deepEqual(heads, [200])
       t.regex(raw.requests[0] ?? '', /last-event-id: 3\r\n/i)
     })
   }
 })
 
-test('should leave a stream whose listener finds something wrong, and pass a refusal on as one', async t => {
+test('should abort a stream that its listener rejects, and report a refusal as such', async t => {
   await withEndpoint(({ socket, attemptId }, number) => {
     if (number === 1) socket.write(wholeAnswer(attemptId))
     else socket.write('HTTP/1.1 503 Busy\r\nx-threaddrum-not-executed: 1\r\ncontent-length: 0\r\n\r\n')
   }, async raw => {
     const listener = { onHead: () => {}, onData: async () => 'not the next event' }
-    t.deepEqual(await client.stream(streamed(raw.endpoint), new Scope('test'), listener), { kind: 'broken', reason: 'not the next event' })
-    t.like(await client.stream(streamed(raw.endpoint), new Scope('test'), listener), { kind: 'notExecuted', status: 503 })
+    t.deepEqual(await client.stream(streamRequest(raw.endpoint), new Scope('test'), listener), { kind: 'broken', reason: 'not the next event' })
+    t.like(await client.stream(streamRequest(raw.endpoint), new Scope('test'), listener), { kind: 'notExecuted', status: 503 })
   })
 })
--- a/tests/platform/hostPrograms.test.ts
+++ b/tests/platform/hostPrograms.test.ts
@@ -11,7 +11,7 @@
 import { freePort, loopbackHost } from '../fixtures/loopback.js'
 import { until } from '../fixtures/until.js'
 
-/** Any process holds more, so that all levels are passed at once. */
+/** Any process uses more, so that all warning levels are exceeded at once. */
 const TINY_LIMIT_MB = 1
 const LEVELS_COUNT = 3
 
@@ -60,41 +60,41 @@
   return whole.filter(({ context }) => context.eventNumber === eventNumber)
 }
 
-async function gauge (program: RunningProgram, name: string): Promise<number | undefined> {
+async function readGauge (program: RunningProgram, name: string): Promise<number | undefined> {
   const text = await request(program.metricsUrl).then(async ({ body }) => await body.text(), () => '')
   const value = text.split('\n').find(line => line.startsWith(`threaddrum_${name} `))?.split(' ')[1]
   return value === undefined ? undefined : Number(value)
 }
 
-async function shows (t: ExecutionContext, program: RunningProgram, names: string[]): Promise<void> {
-  await until(async () => await gauge(program, names.at(-1) ?? '') !== undefined)
-  for (const name of names) t.true(await gauge(program, name) !== undefined, name)
+async function assertGauges (t: ExecutionContext, program: RunningProgram, names: string[]): Promise<void> {
+  await until(async () => await readGauge(program, names.at(-1) ?? '') !== undefined)
+  for (const name of names) t.true(await readGauge(program, name) !== undefined, name)
 }
 
 for (const name of ['edge', 'control', 'store'] as const) {
-  test(`should watch the memory of ${name} against what its host allows it`, async t => {
+  test(`should compare the memory of ${name} with the limit of its host`, async t => {
     const program = await start(name, TINY_LIMIT_MB)
     t.teardown(() => stop(program))
     await until(() => linesOf(program, MemoryEvent.LevelPassed).length === LEVELS_COUNT)
     t.is(linesOf(program, MemoryEvent.LevelPassed)[0]?.context.limitBytes, 1024 * 1024)
-    await until(async () => (await gauge(program, 'memory_resident_bytes') ?? 0) > 1024 * 1024)
+    await until(async () => (await readGauge(program, 'memory_resident_bytes') ?? 0) > 1024 * 1024)
   })
 }
 
 for (const name of ['control', 'store'] as const) {
-  test(`should show the replica of ${name} and tell how its start went`, async t => {
+  test(`should expose metrics of the replica of ${name} and log how it was loaded`, async t => {
     const program = await start(name, undefined)
     t.teardown(() => stop(program))
     await until(() => linesOf(program, ReplicationEvent.Loaded).length === 1)
     t.true(Number(linesOf(program, ReplicationEvent.Loaded)[0]?.context.readMs) > 0)
-    await shows(t, program, ['log_applied_index', 'log_held_bytes', 'members_voters', 'members_largest_lag_entries'])
+    await assertGauges(t, program, ['log_applied_index', 'log_held_bytes', 'members_voters', 'members_largest_lag_entries'])
     t.deepEqual(linesOf(program, MemoryEvent.LevelPassed), [])
   })
 }
 
-test('should show the batches that a store host holds', async t => {
+test('should expose metrics of the batches on a store host', async t => {
   const program = await start('store', undefined)
   t.teardown(() => stop(program))
-  await until(async () => await gauge(program, 'batches_held') === 0)
-  await shows(t, program, ['batches_open', 'outputs_unfinished'])
+  await until(async () => await readGauge(program, 'batches_held') === 0)
+  await assertGauges(t, program, ['batches_open', 'outputs_unfinished'])
 })
--- a/tests/platform/infrastructureClient.test.ts
+++ b/tests/platform/infrastructureClient.test.ts
@@ -14,13 +14,13 @@
   body: unknown
 }
 
-interface Served {
+interface InfrastructureFixture {
   received: Received[]
   call: (call: DutyCall, mayAct?: () => boolean, waitMs?: number) => Promise<DutyOutcome>
 }
 
-/** @param status of the answers; 0 answers nothing */
-async function serve (t: ExecutionContext, status: number): Promise<Served> {
+/** @param status status code of every response; 0 sends no response */
+async function serve (t: ExecutionContext, status: number): Promise<InfrastructureFixture> {
   const received: Received[] = []
   const server: Server = createServer((request, response) => {
     const chunks: Buffer[] = []
@@ -48,7 +48,7 @@
 const usage: DutyCall = { kind: DutyKind.ReportUsage, windowId: 7, counts: { learners: 3 } }
 const order: DutyCall = { kind: DutyKind.OrderEndpoints, service: 's1', dataCentre: 'north', isReclaimable: false, desiredCount: 6 }
 
-test('should report use and order endpoints in the platform\'s form, with holder and fence', async t => {
+test('should report usage and order endpoints in the platform\'s format, with holder and fencing number', async t => {
   const { call, received } = await serve(t, 200)
   t.deepEqual(await call(usage), { kind: 'done' })
   t.deepEqual(await call(order), { kind: 'done' })
@@ -70,25 +70,25 @@
 ]
 
 for (const [status, outcome] of answers) {
-  test(`should take an answer of ${status} for ${outcome.kind}`, async t => {
+  test(`should map an answer of ${status} to ${outcome.kind}`, async t => {
     const { call } = await serve(t, status)
     t.deepEqual(await call(usage), outcome)
   })
 }
 
-// Guards against a call that was held up until its duty had passed to another host.
-test('should send nothing once the duty is over', async t => {
+// Guards against a call that is delayed until another host has taken over the duty.
+test('should send nothing once the host has lost the duty', async t => {
   const { call, received } = await serve(t, 200)
   t.is((await call(usage, () => false)).kind, 'notSent')
   t.is(received.length, 0)
 })
 
-test('should say that a call without an answer may have been carried out', async t => {
+test('should report that a call without an answer may have been carried out', async t => {
   const { call } = await serve(t, 0)
   t.is((await call(usage, () => true, 300)).kind, 'unknown')
 })
 
-test('should say that nothing was sent where nobody listens', async t => {
+test('should report that nothing was sent if no server listens', async t => {
   const infrastructure = new PlatformInfrastructure(`${loopbackHost()}:${await freePort()}`, systemClock)
   const outcome = await infrastructure.call(usage, { holder: 'edge-1', fencingNumber: 1 }, () => true, systemClock.nowMs() + WAIT_MS, new Scope('test'))
   t.is(outcome.kind, 'notSent')
--- a/tests/platform/itemStream.test.ts
+++ b/tests/platform/itemStream.test.ts
@@ -23,7 +23,7 @@
   resume (): void {}
 }
 
-function begun (onEvent: (event: ItemEvent, stream: ItemStream) => void): { stream: ItemStream, controller: FakeController } {
+function startStream (onEvent: (event: ItemEvent, stream: ItemStream) => void): { stream: ItemStream, controller: FakeController } {
   const stream: ItemStream = new ItemStream({ attemptId: 'i1', afterEventId: undefined }, event => onEvent(event, stream))
   const controller = new FakeController()
   stream.onRequestStart(controller)
@@ -33,20 +33,20 @@
 
 const TWO_EVENTS = Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b\n\n')
 
-test('should pass events on in the turn in which their bytes come', async t => {
+test('should deliver events in the event-loop turn in which their bytes arrive', async t => {
   const ids: number[] = []
-  const { stream, controller } = begun(({ id }) => ids.push(id))
+  const { stream, controller } = startStream(({ id }) => ids.push(id))
   stream.onResponseData(controller, TWO_EVENTS)
   t.deepEqual(ids, [1, 2])
   stream.onResponseEnd()
   t.deepEqual(await stream.outcome, { kind: 'finished' })
 })
 
-test('should pass nothing on behind the event at which it was left, though it came with it', async t => {
+test('should deliver no event after the one that cancels the stream, even from the same chunk', async t => {
   const ids: number[] = []
-  const { stream, controller } = begun(({ id }, own) => {
+  const { stream, controller } = startStream(({ id }, own) => {
     ids.push(id)
-    own.breakOff('left')
+    own.cancel('left')
   })
   stream.onResponseData(controller, TWO_EVENTS)
   t.deepEqual(ids, [1])
@@ -54,9 +54,9 @@
   t.deepEqual(await stream.outcome, { kind: 'broken', reason: 'left' })
 })
 
-test('should not be sent once it was left', t => {
+test('should not be sent once it is cancelled', t => {
   const stream = new ItemStream({ attemptId: 'i1', afterEventId: undefined }, () => {})
-  stream.breakOff('left')
+  stream.cancel('left')
   const controller = new FakeController()
   stream.onRequestStart(controller)
   t.true(controller.aborted)
--- a/tests/processes/control.test.ts
+++ b/tests/processes/control.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { ProcessSystem } from '../fixtures/processSystem.js'
 
-/** Applies a change and remembers that it was accepted. */
+/** Applies changes and records which were accepted. */
 class Operator {
   readonly accepted: string[] = []
   private readonly _system: ProcessSystem
--- a/tests/processes/crashes.test.ts
+++ b/tests/processes/crashes.test.ts
@@ -46,7 +46,7 @@
   await system.expectTrainedWell(t, STEPS_COUNT * SAMPLES_PER_STEP)
 })
 
-test('should deliver every sample once when the leader of control is killed in the middle of a step', async t => {
+test('should deliver every sample once when the leader of the control hosts is killed in the middle of a step', async t => {
   const system = await ProcessSystem.start(t)
   system.local.startTrainer(TRAINER)
   await waitForFinishedSamples(system)
--- a/tests/processes/demo.test.ts
+++ b/tests/processes/demo.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { spawn } from 'node:child_process'
 
-test('should run the whole path and stop in order', async t => {
+test('should run the complete demo and stop cleanly', async t => {
   const demo = spawn(process.execPath, ['dist/demo/main.js'], { stdio: ['ignore', 'pipe', 'inherit'] })
   let output = ''
   demo.stdout.on('data', part => { output += String(part) })
--- a/tests/processes/fleetSoak.test.ts
+++ b/tests/processes/fleetSoak.test.ts
@@ -4,7 +4,7 @@
 const SEED = 2
 const DURATION_MS = 25_000
 
-test('should keep every promise of the platform\'s programs through a short run of faults', async t => {
+test('should keep every guarantee of the platform\'s programs during a short run with faults', async t => {
   t.timeout(180_000)
   const { violations, record } = await runSoak({ seed: SEED, durationMs: DURATION_MS, hosts: hostCounts(1, 3) })
   t.deepEqual(violations, [])
--- a/tests/processes/hostileCallers.test.ts
+++ b/tests/processes/hostileCallers.test.ts
@@ -17,7 +17,7 @@
   return socket
 }
 
-/** What comes back until the other side ends. */
+/** Returns everything received until the peer closes the connection. */
 async function exchange (host: string, text: string): Promise<string> {
   const socket = open(host)
   let answer = ''
@@ -35,7 +35,7 @@
   await Promise.all(Array.from({ length: REPEATS }, action))
 }
 
-test('should keep serving and hold nothing for hostile callers', async t => {
+test('should keep serving and keep no resources for hostile callers', async t => {
   const system = await ProcessSystem.start(t, {
     enginesCount: 1,
     engine: { meanTokensCount: 100_000 },
@@ -51,28 +51,28 @@
   await repeat(async () => { t.regex(await exchange(host, post(`connection: close\r\ncontent-length: ${MAX_BODY_BYTES + 1}`)), /^HTTP\/1\.1 413[\s\S]*body_too_large/) })
   await repeat(async () => { t.regex(await exchange(host, post(`x-flood: ${'x'.repeat(40_000)}`)), /^HTTP\/1\.1 431/) })
   await repeat(async () => { t.notRegex(await exchange(host, 'POST /v1/completions HTTP/1.1\r\nhost: x\r\n'), /^HTTP\/1\.1 2/) })
-  let begunCount = 0
+  let startedCount = 0
   await repeat(async () => {
     const body = JSON.stringify({ model: 'practice-lm', prompt: 'p', max_tokens: 100_000, stream: true })
     const socket = open(host)
     socket.write(post(`content-type: application/json\r\nx-caller: hostile\r\nx-priority-class: learners\r\ncontent-length: ${body.length}`, body))
     const head = await new Promise<Buffer>(resolve => socket.once('data', resolve))
-    // A host that is slow to place twenty at once may refuse one early, which is its right.
-    if (head.toString().startsWith('HTTP/1.1 200')) begunCount++
+    // A host may refuse some of these concurrent requests early, which is allowed.
+    if (head.toString().startsWith('HTTP/1.1 200')) startedCount++
     socket.destroy()
   })
 
-  const idle = await waitFor('the host to hold nothing', async () => {
+  const idle = await waitFor('the host to release all resources', async () => {
     const status = await getJson(`http://${system.local.entryOperatorAddresses[0]}/v1/status`) as { inFlightCount: number } | undefined
     return status?.inFlightCount === 0 && openFilesCount() <= before + REPEATS / 2
   })
   t.true(idle)
-  const generations = await waitFor('the engine to be told of every hang-up', async () => {
+  const generations = await waitFor('the engine to be notified of every disconnect', async () => {
     const { generations } = await getJson(`${system.local.engineUrl(0)}/record`) as { generations: Array<{ ended: string }> }
     return generations.every(({ ended }) => ended !== 'running') && generations
   })
-  t.true(begunCount > 0)
-  t.is(generations.length, begunCount)
+  t.true(startedCount > 0)
+  t.is(generations.length, startedCount)
   t.is(entry.end, undefined)
   t.true((await system.openStream(host, 'still there?', 5).read).isWhole)
 })
--- a/tests/processes/plannedStop.test.ts
+++ b/tests/processes/plannedStop.test.ts
@@ -10,26 +10,26 @@
 const REVIEWS_COUNT = 40
 const REVIEWS_BEFORE_STOP = 10
 
-test('should cut no request when any one process is told to stop', async t => {
+test('should interrupt no request when any one process is stopped', async t => {
   const system = await ProcessSystem.start(t, { enginesCount: 3, engine: { meanTokensCount: 5_000 }, service: { serviceMs: SERVICE_MS } })
   const leader = system.controls[await system.leaderIndex()]!
-  for (const victim of [system.engines[0]!, leader, system.service!, system.entries[0]!]) {
+  for (const stoppedProcess of [system.engines[0]!, leader, system.service!, system.entries[0]!]) {
     const streams: OpenStream[] = []
     for (const host of system.local.entryAddresses) {
       for (let index = 0; index < STREAMS_PER_HOST; index++) {
-        streams.push(system.openStream(host, `${victim.name} ${index}`, STREAM_TOKENS))
+        streams.push(system.openStream(host, `${stoppedProcess.name} ${index}`, STREAM_TOKENS))
       }
     }
     await Promise.all(streams.map(async ({ begun }) => await begun))
-    const calls = system.service?.end ? [] : await beginCalls(system, `/cards/${victim.name}`)
-    const end = victim.stop()
+    const calls = system.service?.end ? [] : await startCalls(system, `/cards/${stoppedProcess.name}`)
+    const end = stoppedProcess.stop()
     for (const stream of await Promise.all(streams.map(async ({ read }) => await read))) {
-      t.true(stream.isWhole, victim.name)
+      t.true(stream.isWhole, stoppedProcess.name)
       t.is(stream.misplacedCount, 0)
       t.is(stream.tokens.length, STREAM_TOKENS)
     }
-    for (const answer of await Promise.all(calls)) t.like(answer, { kind: 'answered' }, victim.name)
-    t.like(await end, { code: 0 }, victim.name)
+    for (const answer of await Promise.all(calls)) t.like(answer, { kind: 'answered' }, stoppedProcess.name)
+    t.like(await end, { code: 0 }, stoppedProcess.name)
   }
 })
 
@@ -45,8 +45,8 @@
   t.true(counts.every(count => count === 1))
 })
 
-/** Calls the service through every host and waits until it runs, or has run, all of them. */
-async function beginCalls (system: ProcessSystem, path: string): Promise<Array<Promise<EntryAnswer>>> {
+/** Calls the service through every host and waits until it has started all calls. */
+async function startCalls (system: ProcessSystem, path: string): Promise<Array<Promise<EntryAnswer>>> {
   const calls = system.local.entryAddresses.map(async host => await system.client.sendTo(host, { method: 'GET', path: `${callerPaths.services}decks${path}` }))
   await waitFor('the service to run the calls', async () => {
     const { runningCount, executionsByPath } = await system.serviceRecord()
@@ -55,7 +55,7 @@
   return calls
 }
 
-/** Sends the same call with the same key until it is answered, as callers are told to. */
+/** Repeats the call with the same key until it is answered, as documented for callers. */
 async function sendUntilAnswered (system: ProcessSystem, key: string): Promise<void> {
   for (;;) {
     const answer = await system.client.send({
--- a/tests/processes/settings.test.ts
+++ b/tests/processes/settings.test.ts
@@ -41,7 +41,7 @@
   return await run(program, ['--settings', file])
 }
 
-test('should end with 2 and one line that names file, key and value of a wrong setting', async t => {
+test('should exit with 2 and one line that names file, key and value of an invalid setting', async t => {
   const unknown = entrySettings()
   unknown.host!.adress = 'x'
   const missing = entrySettings()
@@ -59,7 +59,7 @@
   }
 })
 
-test('should end with 2 when a port is in use', async t => {
+test('should exit with 2 when a port is in use', async t => {
   const holder = createServer()
   await new Promise<void>(resolve => holder.listen(0, IP, resolve))
   const { port } = holder.address() as AddressInfo
--- a/tests/processes/storeMemory.test.ts
+++ b/tests/processes/storeMemory.test.ts
@@ -1,14 +1,11 @@
 /**
- * What was seen: store hosts were ended one after the other for memory over
- * their host's limit, came back with the same state, were ended again within
- * two seconds, and no accepted batch could be read any more.
- * How it came about: a snapshot was made of the whole state as one value, so
- * that a replica held it several times over while it took or loaded one, all
- * replicas at about the same entry.
- * What caused it: memory grew with the state at a multiple of its size, and
- * nothing kept the state below what the host bears.
- * What proved it: the test below, which peaked at 255 MB with 41 MB of texts,
- * and at 218 MB after a start with them.
+ * Guards against store hosts that exceed the memory limit of their host while
+ * they take or load a snapshot. If a snapshot encodes the whole state as one
+ * value, a replica holds the state several times; all replicas take snapshots at
+ * about the same log entry, so they are killed one after the other, and again
+ * within two seconds of each restart, until no accepted batch can be read. A
+ * store with this fault, and without a bound on its state, peaks at 255 MB with
+ * 41 MB of texts, and at 218 MB after a start with them.
  */
 import { spawn } from 'node:child_process'
 import { once } from 'node:events'
@@ -24,10 +21,10 @@
 
 /** Memory of the smallest store host in use. */
 const HOST_MEMORY_BYTES = 230 * 1_000_000
-/** 8,960 items, what three trainers with steps of 160 make in two minutes at a step each five seconds with reruns: 41 MB of deflated text. */
+/** 8,960 items with 41 MB of deflated text: the output of three trainers in two minutes, with a step of 160 items every five seconds and reruns. */
 const BATCHES_COUNT = 56
 
-/** What the store runs with where it is deployed. */
+/** The Node.js flags of the deployed store. */
 function deployedFlags (): string[] {
   const deployment = parse(readFileSync('deploy/system.toml', 'utf8')) as { roles: { store: { run: string } } }
   return deployment.roles.store.run.split(' ').filter(word => word.startsWith('--'))
