--- a/src/protocol/callers.ts
+++ b/src/protocol/callers.ts
@@ -20,7 +20,7 @@
   Replayed = 'x-replayed'
 }
 
-/** Class of calls that name none while the operators have declared no class; such calls are refused unless it exists. */
+/** Class of calls that name none while the operators have declared no class; as it does not exist then, such calls are refused. */
 export const DEFAULT_PRIORITY_CLASS = 'default'
 
 /** GET /v1/advice?dataCentre=&caller= */
--- a/src/protocol/fleet.ts
+++ b/src/protocol/fleet.ts
@@ -114,7 +114,7 @@
   controlAddresses: z.array(z.string()).optional(),
   /** True if a quorum confirmed, after the call started, that no newer routing configuration is in effect. */
   isRoutingConfirmed: z.boolean(),
-  /** The time of day agreed on by most hosts. */
+  /** The time of day according to most hosts. */
   fleetWallMs: z.number().optional(),
   update: fleetUpdateSchema
 })
--- a/src/protocol/usage.ts
+++ b/src/protocol/usage.ts
@@ -30,7 +30,7 @@
 export const usageCommandSchema = z.discriminatedUnion('kind', [
   /** A host takes over the duty of reporting usage. */
   z.object({ kind: z.literal(UsageCommandKind.Claim), holder: z.string() }),
-  /** Fixes the counts of a window; every host reports these from now on. */
+  /** Fixes the counts of a window; whichever host reports the window uses them. */
   z.object({ kind: z.literal(UsageCommandKind.Close), windowId: z.int(), counts: z.record(z.string(), z.int()) }),
   /** The infrastructure has received the window. */
   z.object({ kind: z.literal(UsageCommandKind.Reported), windowId: z.int() })
--- a/tests/processes/hostileCallers.test.ts
+++ b/tests/processes/hostileCallers.test.ts
@@ -57,7 +57,7 @@
     const socket = open(host)
     socket.write(post(`content-type: application/json\r\nx-caller: hostile\r\nx-priority-class: learners\r\ncontent-length: ${body.length}`, body))
     const head = await new Promise<Buffer>(resolve => socket.once('data', resolve))
-    // A host may refuse some of these concurrent requests early, which is allowed.
+    // A host that is slow to place many requests at once may refuse some early, which is allowed.
     if (head.toString().startsWith('HTTP/1.1 200')) startedCount++
     socket.destroy()
   })
