--- a/src/load/adviceKeeper.ts
+++ b/src/load/adviceKeeper.ts
@@ -1,67 +1,67 @@
 /**
- * Which entry host to use: asks any known host, keeps the answer as long as it
- * is valid, and steps on when a host refuses or cannot be reached.
+ * Caches the entry hosts that each caller is advised to use. Queries the known
+ * hosts in turn until one gives advice, and keeps the advice while it is valid.
  */
 import { request, type Dispatcher } from 'undici'
 import { adviceSchema, callerPaths, type Advice } from '../protocol/callers.js'
 import type { Clock } from '../utils/clock.js'
 
 const ADVICE_TIMEOUT_MS = 1_000
-/** After a round without an answer the hosts of the experiment serve this long. */
+/** How long the entry hosts of the experiment are used after no host gave advice. */
 const FALLBACK_VALID_MS = 500
 
-export interface AdviceKeeperOptions {
+export interface AdviceCacheOptions {
   clock: Clock
   dispatcher: Dispatcher
   entryHosts: string[]
   dataCentre: string
 }
 
-export class AdviceKeeper {
-  private readonly _options: AdviceKeeperOptions
-  private readonly _kept = new Map<string, KeptAdvice>()
-  /** Rounds of asking in which no host gave advice. */
+export class AdviceCache {
+  private readonly _options: AdviceCacheOptions
+  private readonly _entries = new Map<string, CachedAdvice>()
+  /** Number of renewals in which no host gave advice. */
   unansweredCount = 0
 
-  constructor (options: AdviceKeeperOptions) {
+  constructor (options: AdviceCacheOptions) {
     this._options = options
   }
 
-  /** Hosts for a caller, first choice first. */
+  /** Hosts for a caller, in order of preference. */
   async hostsFor (caller: string): Promise<string[]> {
-    const kept = this._kept.get(caller) ?? new KeptAdvice(this._options.entryHosts)
-    this._kept.set(caller, kept)
-    if (this._options.clock.nowMs() >= kept.validUntilMs) await this._renew(caller, kept)
-    return kept.hosts
+    const cached = this._entries.get(caller) ?? new CachedAdvice(this._options.entryHosts)
+    this._entries.set(caller, cached)
+    if (this._options.clock.nowMs() >= cached.validUntilMs) await this._renew(caller, cached)
+    return cached.hosts
   }
 
-  /** Asks anew at the next use. */
-  forget (caller: string): void {
-    const kept = this._kept.get(caller)
-    if (kept) kept.validUntilMs = 0
+  /** Expires the advice for a caller, so that the next use renews it. */
+  invalidate (caller: string): void {
+    const cached = this._entries.get(caller)
+    if (cached) cached.validUntilMs = 0
   }
 
-  private async _renew (caller: string, kept: KeptAdvice): Promise<void> {
-    kept.renewal ??= this._ask(caller, kept).finally(() => { kept.renewal = undefined })
-    await kept.renewal
+  private async _renew (caller: string, cached: CachedAdvice): Promise<void> {
+    cached.renewal ??= this._query(caller, cached).finally(() => { cached.renewal = undefined })
+    await cached.renewal
   }
 
-  private async _ask (caller: string, kept: KeptAdvice): Promise<void> {
+  private async _query (caller: string, cached: CachedAdvice): Promise<void> {
     const { clock, entryHosts } = this._options
-    const candidates = [...new Set([...kept.hosts, ...entryHosts])]
+    const candidates = [...new Set([...cached.hosts, ...entryHosts])]
     for (const host of candidates) {
-      const advice = await this._askHost(host, caller)
+      const advice = await this._queryHost(host, caller)
       if (!advice || advice.hosts.length === 0) continue
-      kept.hosts = advice.hosts
-      kept.validUntilMs = clock.nowMs() + advice.validForMs
+      cached.hosts = advice.hosts
+      cached.validUntilMs = clock.nowMs() + advice.validForMs
       return
     }
     this.unansweredCount++
-    kept.hosts = entryHosts
-    kept.validUntilMs = clock.nowMs() + FALLBACK_VALID_MS
+    cached.hosts = entryHosts
+    cached.validUntilMs = clock.nowMs() + FALLBACK_VALID_MS
   }
 
-  private async _askHost (host: string, caller: string): Promise<Advice | undefined> {
+  private async _queryHost (host: string, caller: string): Promise<Advice | undefined> {
     const query = new URLSearchParams({ dataCentre: this._options.dataCentre, caller })
     try {
       const answer = await request(`http://${host}${callerPaths.advice}?${query}`, {
@@ -76,9 +76,9 @@
   }
 }
 
-class KeptAdvice {
+class CachedAdvice {
   hosts: string[]
-  /** Instant of the monotonic clock. */
+  /** Time of the monotonic clock. */
   validUntilMs = 0
   renewal: Promise<void> | undefined
 
--- a/src/load/answerCheck.ts
+++ b/src/load/answerCheck.ts
@@ -1,48 +1,48 @@
 /**
- * Checks that an answer is whole and belongs to its request.
+ * Checks that an answer is complete and belongs to its request.
  */
 import { createParser } from 'eventsource-parser'
 import { z } from 'zod'
 import { completionChunkSchema, FinishReason, type CompletionChunk } from '../protocol/endpoints.js'
-import { InvariantKind, type PlannedRequest, type TryOutcome } from './requestOutcome.js'
+import { InvariantKind, type PlannedRequest, type AttemptOutcome } from './requestOutcome.js'
 
 const END_OF_STREAM = '[DONE]'
 
-/** What is checked of a completion that comes in one piece. */
-const wholeCompletionSchema = z.object({
+/** Fields that are checked in a completion that is not streamed. */
+const unstreamedCompletionSchema = z.object({
   id: z.string(),
   tokens: z.array(z.string()),
   finish_reason: z.enum(FinishReason)
 })
 
-export type AnswerCheck = Extract<TryOutcome, { kind: 'whole' | 'broken' }>
+export type AnswerVerdict = Extract<AttemptOutcome, { kind: 'whole' | 'broken' }>
 
-function broken (invariant: InvariantKind, message: string): AnswerCheck {
+function violationOf (invariant: InvariantKind, message: string): AnswerVerdict {
   return { kind: 'broken', invariant, message }
 }
 
-/** The stand-in service echoes path and body; an answer without the tag is someone else's. */
-export function checkServiceAnswer (planned: PlannedRequest, text: string, firstByteAtMs: number): AnswerCheck {
-  if (!text.includes(planned.tag)) return broken(InvariantKind.CrossedAnswer, `answer without ${planned.tag}: ${text.slice(0, 120)}`)
+/** The stand-in service echoes path and body, so an answer without the tag belongs to another request. */
+export function checkServiceAnswer (planned: PlannedRequest, text: string, firstByteAtMs: number): AnswerVerdict {
+  if (!text.includes(planned.tag)) return violationOf(InvariantKind.CrossedAnswer, `answer does not contain the tag ${planned.tag}: ${text.slice(0, 120)}`)
   return { kind: 'whole', tokensCount: 0, firstByteAtMs }
 }
 
-export function checkWholeCompletion (planned: PlannedRequest, text: string, firstByteAtMs: number): AnswerCheck {
-  const parsed = wholeCompletionSchema.safeParse(parseJson(text))
-  if (!parsed.success) return broken(InvariantKind.PartialAnswer, z.prettifyError(parsed.error))
+export function checkUnstreamedCompletion (planned: PlannedRequest, text: string, firstByteAtMs: number): AnswerVerdict {
+  const parsed = unstreamedCompletionSchema.safeParse(parseJson(text))
+  if (!parsed.success) return violationOf(InvariantKind.PartialAnswer, z.prettifyError(parsed.error))
   const { id, tokens } = parsed.data
-  if (id !== planned.tag) return broken(InvariantKind.CrossedAnswer, `answer to ${id} for ${planned.tag}`)
+  if (id !== planned.tag) return violationOf(InvariantKind.CrossedAnswer, `expected the answer to ${planned.tag}, got the answer to ${id}`)
   return { kind: 'whole', tokensCount: tokens.length, firstByteAtMs }
 }
 
-/** Follows a stream of chunks; ends in one verdict. */
+/** Checks the chunks of a streamed completion as they arrive. */
 export class StreamCheck {
   private readonly _planned: PlannedRequest
   private readonly _parser = createParser({ onEvent: event => this._onEvent(event.data) })
   private _tokensCount = 0
   private _isFinished = false
-  private _isDone = false
-  private _broken: AnswerCheck | undefined
+  private _hasEndMark = false
+  private _violation: AnswerVerdict | undefined
 
   constructor (planned: PlannedRequest) {
     this._planned = planned
@@ -52,30 +52,30 @@
     this._parser.feed(text)
   }
 
-  /** @param isCut whether the connection ended before the body did */
-  verdict (firstByteAtMs: number, isCut: boolean): TryOutcome {
-    if (this._broken) return this._broken
-    if (this._isFinished && this._isDone) return { kind: 'whole', tokensCount: this._tokensCount, firstByteAtMs }
-    if (isCut) return { kind: 'lost', reason: `stream cut after ${this._tokensCount} tokens` }
-    return broken(InvariantKind.PartialAnswer, `stream of ${this._planned.tag} ended without its end mark after ${this._tokensCount} tokens`)
+  /** @param isDisconnected whether the connection closed before the end of the body */
+  verdict (firstByteAtMs: number, isDisconnected: boolean): AttemptOutcome {
+    if (this._violation) return this._violation
+    if (this._isFinished && this._hasEndMark) return { kind: 'whole', tokensCount: this._tokensCount, firstByteAtMs }
+    if (isDisconnected) return { kind: 'lost', reason: `stream disconnected after ${this._tokensCount} tokens` }
+    return violationOf(InvariantKind.PartialAnswer, `stream of ${this._planned.tag} ended without ${END_OF_STREAM} after ${this._tokensCount} tokens`)
   }
 
   private _onEvent (data: string): void {
-    if (this._broken) return
+    if (this._violation) return
     if (data === END_OF_STREAM) {
-      this._isDone = true
+      this._hasEndMark = true
       return
     }
     const parsed = completionChunkSchema.safeParse(parseJson(data))
     if (parsed.success) this._onChunk(parsed.data)
-    else this._broken = broken(InvariantKind.PartialAnswer, `malformed chunk ${data.slice(0, 120)}`)
+    else this._violation = violationOf(InvariantKind.PartialAnswer, `malformed chunk ${data.slice(0, 120)}`)
   }
 
   private _onChunk (chunk: CompletionChunk): void {
     if (chunk.id !== this._planned.tag) {
-      this._broken = broken(InvariantKind.CrossedAnswer, `chunk of ${chunk.id} for ${this._planned.tag}`)
+      this._violation = violationOf(InvariantKind.CrossedAnswer, `expected a chunk of ${this._planned.tag}, got a chunk of ${chunk.id}`)
     } else if (chunk.token_offset !== this._tokensCount || this._isFinished) {
-      this._broken = broken(InvariantKind.PartialAnswer, `chunk at ${chunk.token_offset} after ${this._tokensCount} tokens`)
+      this._violation = violationOf(InvariantKind.PartialAnswer, `chunk has token offset ${chunk.token_offset} after ${this._tokensCount} tokens`)
     }
     this._tokensCount += chunk.tokens.length
     this._isFinished ||= chunk.finish_reason !== null
--- a/src/load/compare.ts
+++ b/src/load/compare.ts
@@ -1,5 +1,5 @@
 /**
- * Two reports side by side, with the ratio of the second to the first.
+ * Compares two reports series by series, with the ratio of the second to the first.
  */
 import Table from 'cli-table3'
 import type { Report, SeriesReport } from './report.js'
@@ -9,7 +9,7 @@
   figure: string
   before: number
   after: number
-  /** After to before; undefined when before is zero. */
+  /** `after / before`; undefined when `before` is zero. */
   ratio: number | undefined
 }
 
@@ -29,7 +29,7 @@
   ['p99.9 ms', series => series.latency?.p999Ms ?? 0]
 ]
 
-/** Series that only one of the two has are left out, and named by `unmatched`. */
+/** Series that are in only one of the reports are not compared; `unmatched` lists their names. */
 export function compareReports (before: Report, after: Report): { differences: Difference[], unmatched: string[] } {
   const first = seriesByName(before)
   const second = seriesByName(after)
--- a/src/load/experiment.ts
+++ b/src/load/experiment.ts
@@ -1,6 +1,6 @@
 /**
- * An experiment: what is sent, how often, to whom, and what goes wrong
- * meanwhile. Read from TOML; a mistake names file, key, value and expectation.
+ * Schema of an experiment file in TOML: workloads, arrival rate, entry hosts
+ * and injected faults. Validation errors name file, key, value and expectation.
  */
 import { z } from 'zod'
 import { addressSchema } from '../utils/settings.js'
@@ -19,25 +19,25 @@
 }
 
 const positiveCount = z.int().min(1)
-const notNegative = z.number().min(0)
+const nonNegative = z.number().min(0)
 
 const spikeSchema = z.strictObject({
-  atMs: notNegative,
+  atMs: nonNegative,
   durationMs: z.number().positive(),
-  /** Times the base rate. */
+  /** Multiplier of the base rate. */
   factor: z.number().positive()
 })
 
 const workloadBase = {
   name: z.string().min(1),
-  /** Part of all requests, relative to the other workloads. */
+  /** Share of all requests, relative to the other workloads. */
   share: z.number().positive().default(1),
   /** One is drawn at random for each request. */
   callers: z.array(z.string()).min(1).default(['load']),
   priorityClass: z.string().optional(),
-  /** How long the caller waits for the whole answer, tries included. */
+  /** How long the caller waits for the complete answer, retries included. */
   deadlineMs: z.number().positive().default(10_000),
-  /** Tries of one request, the first included. */
+  /** Attempts per request, the first included. */
   maxTriesCount: positiveCount.default(4)
 }
 
@@ -45,11 +45,11 @@
   kind: z.literal(WorkloadKind.Service),
   ...workloadBase,
   pool: z.string(),
-  /** Each request goes to a path of its own below this one. */
+  /** Each request is sent to its own path below this one. */
   path: z.string().startsWith('/'),
   method: z.enum(['GET', 'POST']).default('POST'),
   bodyBytes: z.int().min(0).default(64),
-  /** Sends an Idempotency-Key, the same on every try. */
+  /** Sends an Idempotency-Key, the same on every attempt. */
   idempotencyKey: z.boolean().default(false)
 })
 
@@ -59,7 +59,7 @@
   model: z.string(),
   stream: z.boolean().default(true),
   maxTokensCount: positiveCount.default(64),
-  /** Prompts share this many different beginnings, so that prefix caches have work. */
+  /** Number of distinct prompt prefixes; requests share them so that prefix caches get hits. */
   prefixesCount: positiveCount.default(8),
   promptBytes: positiveCount.default(256)
 })
@@ -67,33 +67,33 @@
 const workloadSchema = z.discriminatedUnion('kind', [serviceWorkloadSchema, completionWorkloadSchema])
 
 const faultSchema = z.strictObject({
-  atMs: notNegative,
-  /** Name given by `--process NAME=PID`. */
+  atMs: nonNegative,
+  /** Name that `--process NAME=PID` assigns to a process. */
   process: z.string(),
   signal: z.enum(FaultSignal)
 })
 
 const recordSchema = z.strictObject({
-  /** GET: what the stand-in service itself counted, by path. */
+  /** A GET of this URL returns the executions that the stand-in service counted, by path. */
   url: z.url(),
   pool: z.string()
 })
 
 export const experimentSchema = z.strictObject({
   name: z.string().min(1),
-  /** Runs with the same seed send the same requests at the same moments. */
+  /** Runs with the same seed send the same requests at the same times. */
   seed: z.int().default(1),
   durationMs: z.number().positive(),
-  /** Requests sent before this moment are left out of the figures. */
-  warmUpMs: notNegative.default(0),
+  /** Requests due before this time are excluded from the statistics. */
+  warmUpMs: nonNegative.default(0),
   dataCentre: z.string(),
-  /** Entry hosts to ask for advice at first. */
+  /** Entry hosts that are queried for advice first. */
   entryHosts: z.array(addressSchema).min(1),
   rate: z.strictObject({
     perSecond: z.number().positive(),
     spikes: z.array(spikeSchema).default([])
   }),
-  /** Requests beyond this are counted as not sent, so that the tool stays up. */
+  /** Requests above this limit are counted as not sent, which bounds the memory of the tool. */
   maxInFlightCount: positiveCount.default(10_000),
   workloads: z.array(workloadSchema).min(1),
   faults: z.array(faultSchema).default([]),
--- a/src/load/faults.ts
+++ b/src/load/faults.ts
@@ -1,6 +1,6 @@
 /**
- * Faults: signals, at the moments the experiment sets, to processes that
- * whoever called the tool named by their ids. No other process is touched.
+ * Injects faults: sends signals to processes at the times set by the
+ * experiment. Only processes whose ids were given with `--process` are signalled.
  */
 import { sleepUntil, type Clock } from '../utils/clock.js'
 import type { Scope } from '../utils/scope.js'
@@ -9,11 +9,11 @@
 
 export type FaultReport = Report['faults'][number]
 
-/** Sends a signal to a process id; throws when it cannot. */
+/** Sends a signal to a process id; throws if the signal cannot be delivered. */
 export type SendSignal = (pid: number, signal: string) => void
 
-/** Faults whose process was not named. */
-export function unnamedProcesses (faults: readonly Fault[], pids: ReadonlyMap<string, number>): string[] {
+/** Names of processes that faults refer to but `pids` does not contain. */
+export function missingProcesses (faults: readonly Fault[], pids: ReadonlyMap<string, number>): string[] {
   return [...new Set(faults.map(({ process }) => process))].filter(name => !pids.has(name))
 }
 
--- a/src/load/loadCommand.ts
+++ b/src/load/loadCommand.ts
@@ -1,6 +1,6 @@
 /**
- * The command line of `threaddrum-load`: `run` an experiment, `page` a stored
- * report, `compare` two.
+ * The command line of `threaddrum-load`: `run` runs an experiment, `page`
+ * renders a stored report as HTML, and `compare` compares two stored reports.
  */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { cac } from 'cac'
@@ -11,22 +11,22 @@
 import { readSettings } from '../utils/settings.js'
 import { compareReports, renderDifferences } from './compare.js'
 import { experimentSchema } from './experiment.js'
-import { unnamedProcesses } from './faults.js'
+import { missingProcesses } from './faults.js'
 import { LoadRun } from './loadRun.js'
 import { reportSchema, type Report } from './report.js'
 import { renderReportPage } from './reportPage.js'
 
 export enum LoadExitCode {
   Done = 0,
-  /** The run ended, and a promise was broken in it. */
+  /** The run completed, and an invariant was violated. */
   InvariantBroken = 1,
-  /** The command line, the experiment or a report file is wrong. */
+  /** The command line, the experiment or a report file is invalid. */
   Usage = 2,
   /** The requests were sent, but a service's record could not be read. */
   RecordUnreadable = 3
 }
 
-export interface LoadCommandParts {
+export interface LoadCommandOptions {
   scope: Scope
   version: string
   print (line: string): void
@@ -39,59 +39,59 @@
   process?: string | string[]
 }
 
-export async function runLoadCommand (argv: string[], parts: LoadCommandParts): Promise<LoadExitCode> {
+export async function runLoadCommand (argv: string[], options: LoadCommandOptions): Promise<LoadExitCode> {
   const cli = cac('threaddrum-load')
-  cli.command('run <experiment>', 'send the load of an experiment and report')
+  cli.command('run <experiment>', 'run an experiment and report the results')
     .option('--json <file>', 'write the report as JSON')
     .option('--html <file>', 'write the report as one HTML page')
-    .option('--process <name=pid>', 'a process that faults of the experiment name; may be given again')
-    .action(async (path: string, flags: RunFlags) => await runExperiment(path, flags, parts))
-  cli.command('page <report> <html>', 'make the HTML page of a stored report')
+    .option('--process <name=pid>', 'process id for a process named in the faults; repeatable')
+    .action(async (path: string, flags: RunFlags) => await runExperiment(path, flags, options))
+  cli.command('page <report> <html>', 'render a stored report as an HTML page')
     .action((path: string, html: string) => writePage(path, html))
-  cli.command('compare <before> <after>', 'print two stored reports side by side')
+  cli.command('compare <before> <after>', 'compare two stored reports')
     .option('--json', 'print as JSON')
-    .action((before: string, after: string, flags: { json?: boolean }) => compare(before, after, flags.json ?? false, parts))
+    .action((before: string, after: string, flags: { json?: boolean }) => compare(before, after, flags.json ?? false, options))
   cli.help()
-  cli.version(parts.version)
+  cli.version(options.version)
   try {
     cli.parse(argv, { run: false })
     if (cli.options.help === true || cli.options.version === true) return LoadExitCode.Done
     if (!cli.matchedCommand) {
-      parts.printError('expected a command: run, page or compare; see --help')
+      options.printError('expected a command: run, page or compare; see --help')
       return LoadExitCode.Usage
     }
     return await cli.runMatchedCommand() as LoadExitCode
   } catch (error) {
     if (!(error instanceof SettingsError) && (error as Error).name !== 'CACError') throw error
-    parts.printError((error as Error).message)
+    options.printError((error as Error).message)
     return LoadExitCode.Usage
   }
 }
 
-async function runExperiment (path: string, flags: RunFlags, parts: LoadCommandParts): Promise<LoadExitCode> {
+async function runExperiment (path: string, flags: RunFlags, options: LoadCommandOptions): Promise<LoadExitCode> {
   const experiment = readSettings(path, experimentSchema)
   const pids = readProcesses(flags.process)
-  const unnamed = unnamedProcesses(experiment.faults, pids)
-  if (unnamed.length > 0) throw new SettingsError(`${path}: faults: give --process NAME=PID for ${unnamed.join(', ')}`)
+  const unnamed = missingProcesses(experiment.faults, pids)
+  if (unnamed.length > 0) throw new SettingsError(`${path}: faults: --process NAME=PID is missing for ${unnamed.join(', ')}`)
   const run = new LoadRun(experiment, {
     clock: systemClock,
-    scope: parts.scope,
+    scope: options.scope,
     pids,
     send: (pid, signal) => process.kill(pid, signal),
-    onProgress: parts.printError
+    onProgress: options.printError
   })
   const outcome = await run.run()
   if (outcome.kind === 'recordUnreadable') {
-    parts.printError(`${outcome.url}: cannot be read: ${outcome.reason}`)
+    options.printError(`${outcome.url}: cannot read the execution record: ${outcome.reason}`)
     return LoadExitCode.RecordUnreadable
   }
-  return conclude(outcome.report, flags, parts)
+  return publishReport(outcome.report, flags, options)
 }
 
-function conclude (report: Report, flags: RunFlags, parts: LoadCommandParts): LoadExitCode {
+function publishReport (report: Report, flags: RunFlags, options: LoadCommandOptions): LoadExitCode {
   if (flags.json) writeFileSync(flags.json, `${JSON.stringify(report, null, 2)}\n`)
   if (flags.html) writeFileSync(flags.html, renderReportPage(report))
-  for (const line of summaryLines(report)) parts.print(line)
+  for (const line of summaryLines(report)) options.print(line)
   return report.brokenCount > 0 ? LoadExitCode.InvariantBroken : LoadExitCode.Done
 }
 
@@ -100,22 +100,22 @@
   const refusals = Object.entries(all.refusals).map(([reason, count]) => `  refused ${count}: ${reason}`)
   const latency = all.latency
     ? `latency p50 ${all.latency.p50Ms.toFixed(1)} ms, p99 ${all.latency.p99Ms.toFixed(1)} ms, p99.9 ${all.latency.p999Ms.toFixed(1)} ms`
-    : 'no whole answer'
+    : 'no complete answers'
   return [
-    `${report.experiment}: sent ${all.sentCount}, whole ${all.wholeCount}, lost ${all.lostCount}, tries ${all.triesCount}, not sent ${report.notSentCount}`,
+    `${report.experiment}: sent ${all.sentCount}, complete ${all.wholeCount}, lost ${all.lostCount}, attempts ${all.triesCount}, not sent ${report.notSentCount}`,
     ...refusals,
-    `${all.goodputPerSecond.toFixed(1)} answers a second in time, ${all.tokensPerSecond.toFixed(0)} tokens a second, ${latency}`,
-    ...report.byClass.map(({ name, wholeCount, sharePercent }) => `  class ${name}: ${wholeCount} whole, ${sharePercent.toFixed(1)}%`),
-    `broken invariants: ${report.brokenCount} (${report.recordCheckedCount} requests checked against records)`,
+    `${all.goodputPerSecond.toFixed(1)} answers per second within the deadline, ${all.tokensPerSecond.toFixed(0)} tokens per second, ${latency}`,
+    ...report.byClass.map(({ name, wholeCount, sharePercent }) => `  class ${name}: ${wholeCount} complete, ${sharePercent.toFixed(1)}%`),
+    `violated invariants: ${report.brokenCount} (${report.recordCheckedCount} requests checked against records)`,
     ...report.broken.slice(0, 5).map(({ invariant, tag, message }) => `  ${invariant} ${tag}: ${message}`)
   ]
 }
 
 const processSchema = z.string().regex(/^[^=]+=[1-9]\d*$/, 'expected NAME=PID')
 
-function readProcesses (given: string | string[] | undefined): Map<string, number> {
+function readProcesses (values: string | string[] | undefined): Map<string, number> {
   const pids = new Map<string, number>()
-  for (const text of given === undefined ? [] : [given].flat()) {
+  for (const text of values === undefined ? [] : [values].flat()) {
     const parsed = processSchema.safeParse(text)
     if (!parsed.success) throw new SettingsError(`--process ${text}: expected NAME=PID`)
     const [name = '', pid = ''] = parsed.data.split('=')
@@ -129,18 +129,18 @@
   return LoadExitCode.Done
 }
 
-function compare (beforePath: string, afterPath: string, asJson: boolean, parts: LoadCommandParts): LoadExitCode {
+function compare (beforePath: string, afterPath: string, asJson: boolean, options: LoadCommandOptions): LoadExitCode {
   const { differences, unmatched } = compareReports(readReport(beforePath), readReport(afterPath))
   if (asJson) {
-    parts.print(JSON.stringify({ differences, unmatched }, null, 2))
+    options.print(JSON.stringify({ differences, unmatched }, null, 2))
     return LoadExitCode.Done
   }
-  parts.print(renderDifferences(differences))
-  if (unmatched.length > 0) parts.print(`only in one of the two: ${unmatched.join(', ')}`)
+  options.print(renderDifferences(differences))
+  if (unmatched.length > 0) options.print(`only in one of the reports: ${unmatched.join(', ')}`)
   return LoadExitCode.Done
 }
 
-/** @throws SettingsError when the file is no report. */
+/** @throws SettingsError if the file cannot be read or is not a report */
 function readReport (path: string): Report {
   try {
     const parsed = reportSchema.safeParse(JSON.parse(readFileSync(path, 'utf8')))
--- a/src/load/recordCheck.ts
+++ b/src/load/recordCheck.ts
@@ -1,26 +1,26 @@
 /**
- * Checks the outcomes against what the services themselves counted, where the
- * experiment names their records: "not run" was true, keys ran at most once,
- * and what was answered ran.
+ * Checks outcomes against the executions that the services counted, if the
+ * experiment names their records: requests refused as not executed did not run,
+ * requests with an idempotency key ran at most once, and answered requests ran.
  */
 import { request } from 'undici'
 import { z } from 'zod'
 import { WorkloadKind, type Experiment } from './experiment.js'
 import { servicePath } from './requestForm.js'
 import { InvariantKind, type RequestOutcome } from './requestOutcome.js'
-import type { BrokenInvariant } from './report.js'
+import type { InvariantViolation } from './report.js'
 
 const READ_TIMEOUT_MS = 10_000
 
-/** What a record answers: how often each path was executed. */
+/** Body of an execution record: how often each path was executed. */
 const recordAnswerSchema = z.object({ executionsByPath: z.record(z.string(), z.int()) })
 
 export type Executions = Map<string, number>
 
-export type RecordsRead = { kind: 'read', byPool: Map<string, Executions> } | { kind: 'unreadable', url: string, reason: string }
+export type RecordsResult = { kind: 'read', byPool: Map<string, Executions> } | { kind: 'unreadable', url: string, reason: string }
 
-/** Reads all records; executions of one pool are added up. */
-export async function readRecords (records: Experiment['records']): Promise<RecordsRead> {
+/** Reads all records and adds up the executions per pool. */
+export async function readRecords (records: Experiment['records']): Promise<RecordsResult> {
   const byPool = new Map<string, Executions>()
   for (const { url, pool } of records) {
     try {
@@ -38,7 +38,7 @@
 
 export interface RecordVerdict {
   checkedCount: number
-  broken: BrokenInvariant[]
+  broken: InvariantViolation[]
 }
 
 export function checkAgainstRecords (outcomes: readonly RequestOutcome[], byPool: Map<string, Executions>): RecordVerdict {
@@ -50,15 +50,15 @@
     if (!executions) continue
     verdict.checkedCount++
     const executedCount = executions.get(servicePath(workload, tag)) ?? 0
-    const invariant = brokenBy(outcome, workload.idempotencyKey, executedCount)
+    const invariant = violatedInvariant(outcome, workload.idempotencyKey, executedCount)
     if (invariant) verdict.broken.push({ invariant, tag, message: `executed ${executedCount} times, last outcome ${outcome.last.kind}` })
   }
   return verdict
 }
 
-function brokenBy (outcome: RequestOutcome, hasKey: boolean, executedCount: number): InvariantKind | undefined {
+function violatedInvariant (outcome: RequestOutcome, hasKey: boolean, executedCount: number): InvariantKind | undefined {
   if (hasKey && executedCount > 1) return InvariantKind.RanTwice
-  if (outcome.saidNotRun && executedCount > 0) return InvariantKind.FalseNotRun
+  if (outcome.isRefusedAsNotExecuted && executedCount > 0) return InvariantKind.FalseNotRun
   if (outcome.last.kind === 'whole' && executedCount === 0) return InvariantKind.NeverRan
   return undefined
 }
--- a/src/load/recorder.ts
+++ b/src/load/recorder.ts
@@ -1,16 +1,16 @@
 /**
- * Gathers the outcomes of a run: in all, by workload, by priority class and
- * by second of the moment a request was due.
+ * Aggregates the outcomes of a run: in total, by workload, by priority class
+ * and by the second in which a request was due.
  */
 import type { RequestOutcome } from './requestOutcome.js'
-import type { BrokenInvariant, Report, SecondReport } from './report.js'
+import type { InvariantViolation, Report, SecondReport } from './report.js'
 import { LatencyHistogram, Series } from './series.js'
 
-const MAX_BROKEN_KEPT = 50
+const MAX_STORED_VIOLATIONS = 50
 const MS_PER_SECOND = 1_000
 const NO_CLASS = '(none)'
 
-class Second {
+class SecondStatistics {
   sentCount = 0
   wholeCount = 0
   refusedCount = 0
@@ -24,13 +24,13 @@
   private readonly _all = new Series('all')
   private readonly _byWorkload = new Map<string, Series>()
   private readonly _byClass = new Map<string, Series>()
-  private readonly _seconds = new Map<number, Second>()
-  private readonly _broken: BrokenInvariant[] = []
+  private readonly _seconds = new Map<number, SecondStatistics>()
+  private readonly _violations: InvariantViolation[] = []
   private readonly _startAtMs: number
   private readonly _warmUpMs: number
-  private _brokenCount = 0
+  private _violationsCount = 0
 
-  /** @param startAtMs instant of the monotonic clock */
+  /** @param startAtMs time of the monotonic clock */
   constructor (startAtMs: number, warmUpMs: number) {
     this._startAtMs = startAtMs
     this._warmUpMs = warmUpMs
@@ -38,7 +38,7 @@
 
   add (outcome: RequestOutcome): void {
     const { planned, last } = outcome
-    if (last.kind === 'broken') this.addBroken({ invariant: last.invariant, tag: planned.tag, message: last.message })
+    if (last.kind === 'broken') this.addViolation({ invariant: last.invariant, tag: planned.tag, message: last.message })
     const dueMs = planned.intendedAtMs - this._startAtMs
     this._addToSecond(Math.floor(dueMs / MS_PER_SECOND), outcome)
     if (dueMs < this._warmUpMs) return
@@ -47,9 +47,9 @@
     seriesOf(this._byClass, planned.workload.priorityClass ?? NO_CLASS).add(outcome)
   }
 
-  addBroken (broken: BrokenInvariant): void {
-    this._brokenCount++
-    if (this._broken.length < MAX_BROKEN_KEPT) this._broken.push(broken)
+  addViolation (violation: InvariantViolation): void {
+    this._violationsCount++
+    if (this._violations.length < MAX_STORED_VIOLATIONS) this._violations.push(violation)
   }
 
   report (durationMs: number): RecorderReport {
@@ -61,13 +61,13 @@
       byWorkload: reports(this._byWorkload),
       byClass: reports(this._byClass),
       seconds: this._secondReports(),
-      brokenCount: this._brokenCount,
-      broken: this._broken
+      brokenCount: this._violationsCount,
+      broken: this._violations
     }
   }
 
   private _addToSecond (atS: number, { planned, last, endedAtMs }: RequestOutcome): void {
-    const second = this._seconds.get(atS) ?? new Second()
+    const second = this._seconds.get(atS) ?? new SecondStatistics()
     this._seconds.set(atS, second)
     second.sentCount++
     switch (last.kind) {
--- a/src/load/report.ts
+++ b/src/load/report.ts
@@ -1,13 +1,13 @@
 /**
- * The report of a run, as it is written to a file and read back for pages and
- * comparisons.
+ * Schema of the report of a run, which is written to a file and read back for
+ * HTML pages and comparisons.
  */
 import { z } from 'zod'
 import { InvariantKind } from './requestOutcome.js'
 
 const count = z.int().min(0)
 
-/** Of latencies in milliseconds, counted from the moment a request was due. */
+/** Summary of latencies in milliseconds, measured from the time a request was due. */
 const latencySchema = z.object({
   meanMs: z.number(),
   p50Ms: z.number(),
@@ -25,14 +25,14 @@
   name: z.string(),
   sentCount: count,
   wholeCount: count,
-  /** Whole answers within the caller's deadline, a second. */
+  /** Complete answers within the caller's deadline, per second. */
   goodputPerSecond: z.number(),
   tokensPerSecond: z.number(),
   lostCount: count,
   triesCount: count,
-  /** Final refusals by reason and `executed`. */
+  /** Final refusals, by reason and `executed`. */
   refusals: z.record(z.string(), count),
-  /** Of all answers in full. */
+  /** Percentage of the complete answers of all series. */
   sharePercent: z.number(),
   latency: latencySchema.nullable(),
   firstByte: latencySchema.nullable(),
@@ -51,8 +51,8 @@
 })
 export type SecondReport = z.infer<typeof secondSchema>
 
-const brokenSchema = z.object({ invariant: z.enum(InvariantKind), tag: z.string(), message: z.string() })
-export type BrokenInvariant = z.infer<typeof brokenSchema>
+const violationSchema = z.object({ invariant: z.enum(InvariantKind), tag: z.string(), message: z.string() })
+export type InvariantViolation = z.infer<typeof violationSchema>
 
 export const reportSchema = z.object({
   tool: z.literal('threaddrum-load'),
@@ -61,9 +61,9 @@
   startedAt: z.iso.datetime(),
   durationMs: z.number(),
   warmUpMs: z.number(),
-  /** Due, but not sent: too many were in flight. */
+  /** Requests that were due but not sent because too many were in flight. */
   notSentCount: count,
-  /** How late the tool itself sent, at most. */
+  /** Longest delay between the time a request was due and the time the tool sent it. */
   worstSendLagMs: z.number(),
   adviceUnansweredCount: count,
   all: seriesSchema,
@@ -71,10 +71,10 @@
   byClass: z.array(seriesSchema),
   seconds: z.array(secondSchema),
   faults: z.array(z.object({ atMs: z.number(), process: z.string(), signal: z.string(), outcome: z.string() })),
-  /** Requests that were checked against a service's own record. */
+  /** Requests that were checked against the execution record of a service. */
   recordCheckedCount: count,
   brokenCount: count,
-  /** The first ones. */
-  broken: z.array(brokenSchema)
+  /** The first violations; `brokenCount` counts all. */
+  broken: z.array(violationSchema)
 })
 export type Report = z.infer<typeof reportSchema>
--- a/src/load/reportPage.ts
+++ b/src/load/reportPage.ts
@@ -1,6 +1,6 @@
 /**
- * The report as one HTML page that needs nothing else: figures, plots, faults
- * and broken invariants.
+ * Renders a report as one self-contained HTML page: statistics, plots, faults
+ * and violated invariants.
  */
 import { reportPlots } from './reportPlots.js'
 import type { Latency, Report, SeriesReport } from './report.js'
@@ -44,20 +44,20 @@
 }
 
 function subtitle ({ startedAt, durationMs, warmUpMs, seed, worstSendLagMs, notSentCount }: Report): string {
-  return `${startedAt}, ${durationMs / 1_000} s of which ${warmUpMs / 1_000} s of warm-up are left out of the tables, seed ${seed}. ` +
-    `Open loop; latencies count from the moment a request was due. The tool sent at most ${worstSendLagMs.toFixed(1)} ms late; ` +
-    `${notSentCount} requests were not sent for want of room.`
+  return `${startedAt}, ${durationMs / 1_000} s of which ${warmUpMs / 1_000} s of warm-up are excluded from the tables, seed ${seed}. ` +
+    `Open loop; latencies are measured from the time a request was due. The tool sent at most ${worstSendLagMs.toFixed(1)} ms late; ` +
+    `${notSentCount} requests were not sent because too many were in flight.`
 }
 
 function verdict ({ brokenCount, broken, recordCheckedCount }: Report): string {
-  const checked = `${recordCheckedCount} requests were also checked against the services' own records.`
-  if (brokenCount === 0) return `<p><span class="good">No broken invariant.</span> ${checked}</p>`
+  const checked = `${recordCheckedCount} requests were also checked against the execution records of the services.`
+  if (brokenCount === 0) return `<p><span class="good">No violated invariants.</span> ${checked}</p>`
   const rows = broken.map(({ invariant, tag, message }) => [invariant, tag, message])
-  return `<p><span class="bad">${brokenCount} broken invariants.</span> ${checked}</p>${renderTable(['invariant', 'request', 'what was seen'], rows)}`
+  return `<p><span class="bad">${brokenCount} violated invariants.</span> ${checked}</p>${renderTable(['invariant', 'request', 'observed behaviour'], rows)}`
 }
 
 function seriesTable (series: SeriesReport[]): string {
-  const head = ['', 'sent', 'whole', 'share', 'in time /s', 'tokens /s', 'refused', 'lost', 'tries', 'p50 ms', 'p99 ms', 'p99.9 ms', 'max ms', 'first byte p99']
+  const head = ['', 'sent', 'whole', 'share', 'in time per s', 'tokens per s', 'refused', 'lost', 'tries', 'p50 ms', 'p99 ms', 'p99.9 ms', 'max ms', 'first byte p99']
   return renderTable(head, series.map(seriesRow))
 }
 
--- a/src/load/reportPlots.ts
+++ b/src/load/reportPlots.ts
@@ -1,5 +1,6 @@
 /**
- * The plots of a report.
+ * Builds the plots of a report page: outcomes and latency over time, and the
+ * latency distribution.
  */
 import type { Report, SecondReport, SeriesReport } from './report.js'
 import type { Mark, Plot, PlotLine } from './svgPlot.js'
@@ -22,12 +23,12 @@
 function outcomesPlot (report: Report): Plot {
   const { seconds } = report
   return {
-    title: 'Requests by the second they were due',
-    xLabel: 'seconds from the start',
+    title: 'Requests by the second in which they were due',
+    xLabel: 'seconds since the start',
     yLabel: 'requests',
     lines: [
       overTime('sent', seconds, second => second.sentCount),
-      overTime('answered in full', seconds, second => second.wholeCount),
+      overTime('answered completely', seconds, second => second.wholeCount),
       overTime('refused', seconds, second => second.refusedCount),
       overTime('lost', seconds, second => second.lostCount)
     ],
@@ -37,8 +38,8 @@
 
 function latencyPlot (report: Report): Plot {
   return {
-    title: 'Latency of whole answers, from the moment a request was due',
-    xLabel: 'seconds from the start',
+    title: 'Latency of complete answers, from the time a request was due',
+    xLabel: 'seconds since the start',
     yLabel: 'ms',
     lines: [
       overTime('median', report.seconds, second => second.p50Ms),
@@ -53,7 +54,7 @@
   const series = report.byClass.length > 1 ? report.byClass : report.byWorkload
   return {
     title: `Distribution of latency by ${report.byClass.length > 1 ? 'priority class' : 'workload'}`,
-    xLabel: 'part of the answers that were at least as fast',
+    xLabel: 'fraction of answers at or below the latency',
     yLabel: 'ms',
     lines: series.map(distributionLine),
     xTicks: [0, 0.5, 0.9, 0.99, 0.999, HIGHEST_SHOWN_QUANTILE].map(quantile => ({ x: nines(quantile), text: `${Number((quantile * 100).toFixed(2))}%` })),
@@ -66,7 +67,7 @@
   return { name, points: shown.map(({ quantile, valueMs }) => ({ x: nines(quantile), y: valueMs })) }
 }
 
-/** 0.9 is 1, 0.99 is 2, and so on, so that the tail has room. */
+/** Maps 0.9 to 1, 0.99 to 2 and so on, which spreads out the tail of the distribution. */
 function nines (quantile: number): number {
   return -Math.log10(1 - quantile)
 }
--- a/src/load/requestForm.ts
+++ b/src/load/requestForm.ts
@@ -1,26 +1,26 @@
 /**
- * The HTTP form of planned requests.
+ * Builds the HTTP requests for planned requests.
  */
 import { CallerHeader, callerPaths } from '../protocol/callers.js'
 import { WorkloadKind, type CompletionWorkload, type ServiceWorkload } from './experiment.js'
 import type { PlannedRequest } from './requestOutcome.js'
 
-/** Names the request to the host; answers carry it. */
+/** Carries the id of the request; answers repeat it. */
 const REQUEST_ID_HEADER = 'x-request-id'
 
-export interface RequestForm {
+export interface HttpRequest {
   method: 'GET' | 'POST'
   path: string
   headers: Record<string, string>
   body?: string
 }
 
-/** The path at the service, which its own record counts by. */
+/** Path of the request at the service, by which its execution record counts. */
 export function servicePath (workload: ServiceWorkload, tag: string): string {
   return `${workload.path.replace(/\/$/, '')}/${tag}`
 }
 
-export function formOf (planned: PlannedRequest, remainingMs: number): RequestForm {
+export function buildHttpRequest (planned: PlannedRequest, remainingMs: number): HttpRequest {
   const { workload, caller, tag } = planned
   const headers: Record<string, string> = {
     [CallerHeader.CallerName]: caller,
@@ -30,13 +30,13 @@
   if (workload.priorityClass !== undefined) headers[CallerHeader.PriorityClass] = workload.priorityClass
   switch (workload.kind) {
     case WorkloadKind.Service:
-      return serviceForm(workload, tag, headers)
+      return buildServiceRequest(workload, tag, headers)
     case WorkloadKind.Completion:
-      return completionForm(workload, tag, headers)
+      return buildCompletionRequest(workload, tag, headers)
   }
 }
 
-function serviceForm (workload: ServiceWorkload, tag: string, headers: Record<string, string>): RequestForm {
+function buildServiceRequest (workload: ServiceWorkload, tag: string, headers: Record<string, string>): HttpRequest {
   const { pool, method, bodyBytes, idempotencyKey } = workload
   if (idempotencyKey) headers[CallerHeader.IdempotencyKey] = tag
   const path = `${callerPaths.services}${pool}${servicePath(workload, tag)}`
@@ -45,9 +45,9 @@
   return { method, path, headers, body: `${tag} `.padEnd(bodyBytes, 'x') }
 }
 
-function completionForm (workload: CompletionWorkload, tag: string, headers: Record<string, string>): RequestForm {
+function buildCompletionRequest (workload: CompletionWorkload, tag: string, headers: Record<string, string>): HttpRequest {
   const { model, stream, maxTokensCount, promptBytes, prefixesCount } = workload
-  const prefix = `deck ${lastNumber(tag) % prefixesCount} `.padEnd(promptBytes, 'kaart ')
+  const prefix = `deck ${sequenceNumberOf(tag) % prefixesCount} `.padEnd(promptBytes, 'kaart ')
   headers['content-type'] = 'application/json'
   return {
     method: 'POST',
@@ -57,6 +57,6 @@
   }
 }
 
-function lastNumber (tag: string): number {
+function sequenceNumberOf (tag: string): number {
   return Number(/\d+$/.exec(tag)?.[0] ?? 0)
 }
--- a/src/load/requestOutcome.ts
+++ b/src/load/requestOutcome.ts
@@ -1,49 +1,49 @@
 /**
- * How requests end, as their caller sees it.
+ * Outcomes of requests, as seen by their caller.
  */
 import type { Refusal } from '../protocol/refusals.js'
 import type { Workload } from './experiment.js'
 
-/** Promises that the caller of a request can check by itself. */
+/** Invariants that are checked on answers, refusals and execution records. */
 export enum InvariantKind {
-  /** The answer has a gap, a repeat, or no end. */
+  /** The answer has a gap or a repeat, or is truncated. */
   PartialAnswer = 'partial_answer',
   /** The answer belongs to another request. */
   CrossedAnswer = 'crossed_answer',
-  /** Said "not run", and the service's own record has it. */
+  /** Refused as not executed, but the execution record contains it. */
   FalseNotRun = 'false_not_run',
-  /** A request with an Idempotency-Key is in the service's record more than once. */
+  /** A request with an Idempotency-Key was executed more than once. */
   RanTwice = 'ran_twice',
-  /** Answered in full, and the service's record does not have it. */
+  /** Answered completely, but the execution record does not contain it. */
   NeverRan = 'never_ran',
   /** A refusal that does not follow the schema. */
   MalformedRefusal = 'malformed_refusal'
 }
 
 export interface PlannedRequest {
-  /** Unique within the run; part of the path or prompt, so that answers can be told apart. */
+  /** Unique within the run; part of the path or prompt, so that answers can be matched to requests. */
   tag: string
   workload: Workload
   caller: string
-  /** Instant of the monotonic clock at which it was due. */
+  /** Time of the monotonic clock at which the request was due. */
   intendedAtMs: number
   deadlineMs: number
 }
 
-/** How one try ended. */
-export type TryOutcome =
+/** Outcome of one attempt. */
+export type AttemptOutcome =
   | { kind: 'whole', tokensCount: number, firstByteAtMs: number }
   | { kind: 'refused', refusal: Refusal }
-  /** Nothing is known of what became of it. */
+  /** The connection failed, so it is unknown whether the request was executed. */
   | { kind: 'lost', reason: string }
   | { kind: 'broken', invariant: InvariantKind, message: string }
 
 export interface RequestOutcome {
   planned: PlannedRequest
-  /** Of the last try. */
-  last: TryOutcome
+  /** Outcome of the last attempt. */
+  last: AttemptOutcome
   triesCount: number
   endedAtMs: number
-  /** True when every try was refused with `executed: no`. */
-  saidNotRun: boolean
+  /** True if every attempt was refused with `executed: no`. */
+  isRefusedAsNotExecuted: boolean
 }
--- a/src/load/requestRunner.ts
+++ b/src/load/requestRunner.ts
@@ -1,80 +1,80 @@
 /**
- * Takes one request to its end: asks for advice, sends, checks the answer,
- * and follows refusals (comes back when told, to the hosts named) until the
- * deadline of the caller or its last try.
+ * Runs one request to its final outcome: gets advice, sends, checks the answer,
+ * and retries after refusals (at the time and on the hosts that they name) until
+ * the caller's deadline or the last attempt.
  */
 import { request, type Dispatcher } from 'undici'
 import { Executed, refusalSchema, type Refusal } from '../protocol/refusals.js'
 import { sleepUntil, type Clock } from '../utils/clock.js'
 import type { Scope } from '../utils/scope.js'
-import type { AdviceKeeper } from './adviceKeeper.js'
-import { checkServiceAnswer, checkWholeCompletion, parseJson, StreamCheck } from './answerCheck.js'
+import type { AdviceCache } from './adviceKeeper.js'
+import { checkServiceAnswer, checkUnstreamedCompletion, parseJson, StreamCheck } from './answerCheck.js'
 import { WorkloadKind, type Workload } from './experiment.js'
-import { formOf } from './requestForm.js'
-import { InvariantKind, type PlannedRequest, type RequestOutcome, type TryOutcome } from './requestOutcome.js'
+import { buildHttpRequest } from './requestForm.js'
+import { InvariantKind, type PlannedRequest, type RequestOutcome, type AttemptOutcome } from './requestOutcome.js'
 
 const FIRST_ERROR_STATUS = 400
-/** Pause before a try that no refusal has set a moment for. */
-const LOST_PAUSE_MS = 50
+/** Delay before the next attempt after the previous one was lost. */
+const LOST_RETRY_DELAY_MS = 50
 
-export interface RequestRunnerParts {
+export interface RequestRunnerOptions {
   clock: Clock
   dispatcher: Dispatcher
-  advice: AdviceKeeper
+  adviceCache: AdviceCache
 }
 
 export class RequestRunner {
-  private readonly _parts: RequestRunnerParts
+  private readonly _options: RequestRunnerOptions
 
-  constructor (parts: RequestRunnerParts) {
-    this._parts = parts
+  constructor (options: RequestRunnerOptions) {
+    this._options = options
   }
 
   async run (planned: PlannedRequest, scope: Scope): Promise<RequestOutcome> {
-    const { clock, advice } = this._parts
-    const tried: TryOutcome[] = []
-    let named: string[] = []
+    const { clock, adviceCache: advice } = this._options
+    const attempts: AttemptOutcome[] = []
+    let namedHosts: string[] = []
     for (;;) {
-      const hosts = named.length > 0 ? named : await advice.hostsFor(planned.caller)
-      const host = hosts[tried.length % hosts.length]!
-      const outcome = await this._try(planned, host)
-      tried.push(outcome)
-      const againAtMs = this._againAtMs(planned, outcome, tried.length)
-      if (againAtMs === undefined || againAtMs >= planned.deadlineMs) break
-      if (outcome.kind === 'lost') advice.forget(planned.caller)
-      named = outcome.kind === 'refused' ? outcome.refusal.otherHosts ?? [] : []
-      await sleepUntil(clock, scope, againAtMs)
+      const hosts = namedHosts.length > 0 ? namedHosts : await advice.hostsFor(planned.caller)
+      const host = hosts[attempts.length % hosts.length]!
+      const outcome = await this._attempt(planned, host)
+      attempts.push(outcome)
+      const retryAtMs = this._retryAtMs(planned, outcome, attempts.length)
+      if (retryAtMs === undefined || retryAtMs >= planned.deadlineMs) break
+      if (outcome.kind === 'lost') advice.invalidate(planned.caller)
+      namedHosts = outcome.kind === 'refused' ? outcome.refusal.otherHosts ?? [] : []
+      await sleepUntil(clock, scope, retryAtMs)
     }
     return {
       planned,
-      last: tried.at(-1)!,
-      triesCount: tried.length,
+      last: attempts.at(-1)!,
+      triesCount: attempts.length,
       endedAtMs: clock.nowMs(),
-      saidNotRun: tried.every(outcome => outcome.kind === 'refused' && outcome.refusal.executed === Executed.No)
+      isRefusedAsNotExecuted: attempts.every(outcome => outcome.kind === 'refused' && outcome.refusal.executed === Executed.No)
     }
   }
 
-  /** When to try again; undefined when the outcome is final. */
-  private _againAtMs (planned: PlannedRequest, outcome: TryOutcome, triesCount: number): number | undefined {
+  /** Time of the next attempt; undefined if the outcome is final. */
+  private _retryAtMs (planned: PlannedRequest, outcome: AttemptOutcome, triesCount: number): number | undefined {
     if (triesCount >= planned.workload.maxTriesCount) return undefined
-    const nowMs = this._parts.clock.nowMs()
+    const nowMs = this._options.clock.nowMs()
     switch (outcome.kind) {
       case 'whole':
       case 'broken':
         return undefined
       case 'refused':
-        return comeBackAtMs(outcome.refusal, nowMs)
+        return refusalRetryAtMs(outcome.refusal, nowMs)
       case 'lost':
-        return mayBeSentAgain(planned.workload) ? nowMs + LOST_PAUSE_MS : undefined
+        return isRetryable(planned.workload) ? nowMs + LOST_RETRY_DELAY_MS : undefined
     }
   }
 
-  private async _try (planned: PlannedRequest, host: string): Promise<TryOutcome> {
-    const remainingMs = Math.max(1, planned.deadlineMs - this._parts.clock.nowMs())
+  private async _attempt (planned: PlannedRequest, host: string): Promise<AttemptOutcome> {
+    const remainingMs = Math.max(1, planned.deadlineMs - this._options.clock.nowMs())
     try {
       const answer = await request(`http://${host}`, {
-        ...formOf(planned, remainingMs),
-        dispatcher: this._parts.dispatcher,
+        ...buildHttpRequest(planned, remainingMs),
+        dispatcher: this._options.dispatcher,
         signal: AbortSignal.timeout(Math.ceil(remainingMs))
       })
       if (answer.statusCode >= FIRST_ERROR_STATUS) return await readRefusal(answer)
@@ -85,33 +85,33 @@
     }
   }
 
-  private async _readAnswer (planned: PlannedRequest, answer: Dispatcher.ResponseData): Promise<TryOutcome> {
+  private async _readAnswer (planned: PlannedRequest, answer: Dispatcher.ResponseData): Promise<AttemptOutcome> {
     const { workload } = planned
-    const firstByteAtMs = this._parts.clock.nowMs()
+    const firstByteAtMs = this._options.clock.nowMs()
     if (workload.kind === WorkloadKind.Service) return checkServiceAnswer(planned, await answer.body.text(), firstByteAtMs)
-    if (!workload.stream) return checkWholeCompletion(planned, await answer.body.text(), firstByteAtMs)
+    if (!workload.stream) return checkUnstreamedCompletion(planned, await answer.body.text(), firstByteAtMs)
     const check = new StreamCheck(planned)
     const decoder = new TextDecoder()
-    let isCut = false
+    let isDisconnected = false
     try {
       for await (const bytes of answer.body) check.feed(decoder.decode(bytes as Uint8Array, { stream: true }))
     } catch (error) {
       if (error instanceof TypeError) throw error
-      isCut = true
+      isDisconnected = true
     }
-    return check.verdict(firstByteAtMs, isCut)
+    return check.verdict(firstByteAtMs, isDisconnected)
   }
 }
 
-/** The moment that a refusal names; none when it may have run, or names neither a moment nor a host. */
-function comeBackAtMs ({ executed, retryAfterMs, otherHosts = [] }: Refusal, nowMs: number): number | undefined {
+/** The retry time that a refusal allows; undefined if the request may have been executed or the refusal names neither a time nor a host. */
+function refusalRetryAtMs ({ executed, retryAfterMs, otherHosts = [] }: Refusal, nowMs: number): number | undefined {
   if (executed !== Executed.No) return undefined
   if (retryAfterMs !== undefined) return nowMs + retryAfterMs
   return otherHosts.length > 0 ? nowMs : undefined
 }
 
-/** A completion changes nothing; a call with a key runs once; the rest is repeated only if read. */
-function mayBeSentAgain (workload: Workload): boolean {
+/** Completions have no side effects and calls with a key are executed once; other calls are retried only if they are reads. */
+function isRetryable (workload: Workload): boolean {
   switch (workload.kind) {
     case WorkloadKind.Completion:
       return true
@@ -120,7 +120,7 @@
   }
 }
 
-async function readRefusal (answer: Dispatcher.ResponseData): Promise<TryOutcome> {
+async function readRefusal (answer: Dispatcher.ResponseData): Promise<AttemptOutcome> {
   const text = await answer.body.text()
   const parsed = refusalSchema.safeParse(parseJson(text))
   if (parsed.success) return { kind: 'refused', refusal: parsed.data }
--- a/src/load/series.ts
+++ b/src/load/series.ts
@@ -1,5 +1,5 @@
 /**
- * Figures of a set of requests: histograms and counts by outcome.
+ * Statistics of a set of requests: latency histograms and counts by outcome.
  */
 import { build, type Histogram } from 'hdr-histogram-js'
 import type { RequestOutcome } from './requestOutcome.js'
@@ -7,31 +7,31 @@
 
 /** Histograms count microseconds. */
 const US_PER_MS = 1_000
-const LONGEST_US = 60 * 60 * 1_000 * US_PER_MS
+const MAX_TRACKABLE_US = 60 * 60 * 1_000 * US_PER_MS
 const MS_PER_SECOND = 1_000
 const DISTRIBUTION_QUANTILES = [0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9999, 1]
 
 export class LatencyHistogram {
   private readonly _histogram: Histogram
 
-  /** @param significantDigits of what is read from it; its memory grows tenfold with each */
+  /** @param significantDigits precision of recorded values; each further digit takes ten times the memory */
   constructor (significantDigits: 2 | 3) {
     this._histogram = build({
       bitBucketSize: 32,
-      highestTrackableValue: LONGEST_US,
+      highestTrackableValue: MAX_TRACKABLE_US,
       numberOfSignificantValueDigits: significantDigits
     })
   }
 
   record (valueMs: number): void {
-    this._histogram.recordValue(Math.min(LONGEST_US, Math.max(1, Math.round(valueMs * US_PER_MS))))
+    this._histogram.recordValue(Math.min(MAX_TRACKABLE_US, Math.max(1, Math.round(valueMs * US_PER_MS))))
   }
 
   quantileMs (quantile: number): number {
     return this._histogram.getValueAtPercentile(quantile * 100) / US_PER_MS
   }
 
-  /** Null when nothing was recorded. */
+  /** Null if nothing was recorded. */
   summary (): Latency | null {
     if (this._histogram.totalCount === 0) return null
     return {
@@ -95,8 +95,8 @@
   }
 
   /**
-   * @param measuredMs length of the measured part of the run
-   * @param allWholeCount whole answers of the whole run, for the share
+   * @param measuredMs duration of the run without its warm-up
+   * @param allWholeCount complete answers of all series, from which `sharePercent` is computed
    */
   report (measuredMs: number, allWholeCount: number): SeriesReport {
     const perSecond = (value: number): number => value * MS_PER_SECOND / measuredMs
--- a/src/load/svgPlot.ts
+++ b/src/load/svgPlot.ts
@@ -1,13 +1,13 @@
 /**
- * Plots as SVG text: axes by d3-scale, lines by d3-shape. Colours are classes
- * of the page's style sheet.
+ * Renders plots as SVG text, with axes from d3-scale and lines from d3-shape.
+ * Colours are CSS classes, which the style sheet of the page defines.
  */
 import { scaleLinear, scaleSymlog, type ScaleContinuousNumeric } from 'd3-scale'
 import { line } from 'd3-shape'
 
 export interface Point {
   x: number
-  /** Null leaves a gap. */
+  /** Null leaves a gap in the line. */
   y: number | null
 }
 
@@ -26,11 +26,11 @@
   xLabel: string
   yLabel: string
   lines: PlotLine[]
-  /** Vertical lines with a text, such as faults. */
+  /** Vertical lines with a label, such as faults. */
   marks?: Mark[]
-  /** Texts of the x axis where the numbers are not what is read. */
+  /** Labels of the x axis that replace the plain numbers. */
   xTicks?: Array<{ x: number, text: string }>
-  /** Small and large values on one axis. */
+  /** Uses a symmetric log scale, so that small and large values are readable on one axis. */
   logY?: boolean
 }
 
@@ -55,14 +55,14 @@
   const ys = points.flatMap(({ y }) => y === null ? [] : [y])
   const x = scaleLinear([Math.min(...xs, 0), Math.max(...xs, 1)], [MARGIN.left, WIDTH - MARGIN.right])
   const y = yScale(Math.max(...ys, 1), plot.logY ?? false)
-  const parts = [
+  const elements = [
     ...yAxis(y, plot.yLabel, plot.logY ?? false),
     ...xAxis(x, plot),
     ...(plot.marks ?? []).map((mark, index) => renderMark(mark, x, index)),
     ...plot.lines.map((one, index) => renderLine(one, x, y, index))
   ]
   return `<figure>${caption(plot)}<svg viewBox="0 0 ${WIDTH} ${HEIGHT}" role="img" aria-label="${escapeText(plot.title)}">` +
-    `${parts.join('')}</svg></figure>`
+    `${elements.join('')}</svg></figure>`
 }
 
 function yScale (highest: number, isLog: boolean): Scale {
@@ -109,7 +109,7 @@
   return `<path class="series colour-${index % COLOURS}" d="${path(points) ?? ''}"/>`
 }
 
-/** The texts of neighbouring marks stand in different rows. */
+/** Puts the labels of neighbouring marks into different rows, so that they do not overlap. */
 function renderMark (mark: Mark, x: Scale, index: number): string {
   const at = x(mark.x)
   const isNearEnd = at > WIDTH - 150
--- a/tests/figures/loadReport.test.ts
+++ b/tests/figures/loadReport.test.ts
@@ -1,25 +1,25 @@
 import test from 'ava'
 import { readdirSync } from 'node:fs'
-import { arrivalMoments, rateAt } from '../../src/load/arrivals.js'
+import { arrivalTimes, rateAt } from '../../src/load/arrivals.js'
 import { compareReports } from '../../src/load/compare.js'
 import { experimentSchema, FaultSignal } from '../../src/load/experiment.js'
-import { injectFaults, unnamedProcesses } from '../../src/load/faults.js'
+import { injectFaults, missingProcesses } from '../../src/load/faults.js'
 import { LoadExitCode, runLoadCommand } from '../../src/load/loadCommand.js'
 import { Recorder } from '../../src/load/recorder.js'
 import type { Report } from '../../src/load/report.js'
 import { renderReportPage } from '../../src/load/reportPage.js'
-import type { RequestOutcome, TryOutcome } from '../../src/load/requestOutcome.js'
+import type { RequestOutcome, AttemptOutcome } from '../../src/load/requestOutcome.js'
 import { systemClock } from '../../src/utils/clock.js'
 import { seededRandom } from '../../src/utils/randomSource.js'
 import { Scope } from '../../src/utils/scope.js'
 import { readSettings } from '../../src/utils/settings.js'
 
 const workload = experimentSchema.shape.workloads.element.parse({ name: 'look-up <b>', kind: 'service', pool: 'cards', path: '/decks', priorityClass: 'paid' })
-const whole: TryOutcome = { kind: 'whole', tokensCount: 4, firstByteAtMs: 0 }
+const whole: AttemptOutcome = { kind: 'whole', tokensCount: 4, firstByteAtMs: 0 }
 
-function outcome (intendedAtMs: number, endedAtMs: number, last: TryOutcome = whole): RequestOutcome {
+function outcome (intendedAtMs: number, endedAtMs: number, last: AttemptOutcome = whole): RequestOutcome {
   const planned = { tag: `t-${intendedAtMs}`, workload, caller: 'load', intendedAtMs, deadlineMs: intendedAtMs + 10_000 }
-  return { planned, last, triesCount: 1, endedAtMs, saidNotRun: false }
+  return { planned, last, triesCount: 1, endedAtMs, isRefusedAsNotExecuted: false }
 }
 
 function reportOf (outcomes: RequestOutcome[], warmUpMs = 0): Report {
@@ -41,28 +41,28 @@
   }
 }
 
-test('should fix the same moments for the same seed, and follow the rate of a spike', t => {
+test('should generate the same arrival times for the same seed, and follow the rate of a spike', t => {
   const profile = { perSecond: 100, spikes: [{ atMs: 4_000, durationMs: 2_000, factor: 10 }] }
-  const moments = [...arrivalMoments(profile, 10_000, seededRandom(5))]
-  t.deepEqual(moments, [...arrivalMoments(profile, 10_000, seededRandom(5))])
+  const times = [...arrivalTimes(profile, 10_000, seededRandom(5))]
+  t.deepEqual(times, [...arrivalTimes(profile, 10_000, seededRandom(5))])
   t.is(rateAt(profile, 5_000), 1_000)
-  const inSpike = moments.filter(atMs => atMs >= 4_000 && atMs < 6_000).length
+  const inSpike = times.filter(atMs => atMs >= 4_000 && atMs < 6_000).length
   t.true(inSpike > 1_800 && inSpike < 2_200, `${inSpike} in the spike`)
-  t.true(moments.length - inSpike > 680 && moments.length - inSpike < 920)
+  t.true(times.length - inSpike > 680 && times.length - inSpike < 920)
 })
 
-test('should count latency from the moment a request was due, so that a stall of the tool shows', t => {
+test('should measure latency from the time a request was due, so that a stall of the tool shows', t => {
   const stalled = Array.from({ length: 100 }, (_, index) => outcome(index * 10, Math.max(index * 10 + 1, 1_001)))
   const { latency } = reportOf(stalled).all
   t.true((latency?.maxMs ?? 0) >= 1_000)
-  t.true((latency?.p50Ms ?? 0) >= 450, 'half of the requests waited half of the stall')
+  t.true((latency?.p50Ms ?? 0) >= 450, 'half of the requests waited at least 450 ms of the stall')
 })
 
-test('should leave the warm-up out of the figures', t => {
+test('should exclude the warm-up from the statistics', t => {
   t.is(reportOf([outcome(100, 101), outcome(2_000, 2_001)], 1_000).all.sentCount, 1)
 })
 
-test('should make a page that needs nothing else and escapes what it shows', t => {
+test('should render a self-contained page and escape its texts', t => {
   const refusal = { reason: 'queue_full', executed: 'no', message: '' } as never
   const page = renderReportPage(reportOf([outcome(0, 5), outcome(1_500, 1_510), outcome(3_000, 3_001, { kind: 'refused', refusal })]))
   t.notRegex(page, /NaN|undefined|Infinity/)
@@ -73,7 +73,7 @@
   t.regex(page, /class="mark-text"[^>]*>SIGKILL entry-1/)
 })
 
-test('should make a page of a run in which nothing was answered', t => {
+test('should render a page for a run in which nothing was answered', t => {
   t.notRegex(renderReportPage(reportOf([outcome(0, 5, { kind: 'lost', reason: 'ECONNREFUSED' })])), /NaN|undefined|Infinity/)
 })
 
@@ -85,7 +85,7 @@
 
 test('should signal only the processes that were named, and report what failed', async t => {
   const fault = { atMs: 0, process: 'entry-1', signal: FaultSignal.Kill }
-  t.deepEqual(unnamedProcesses([fault, { ...fault, process: 'entry-2' }], new Map([['entry-1', 11]])), ['entry-2'])
+  t.deepEqual(missingProcesses([fault, { ...fault, process: 'entry-2' }], new Map([['entry-1', 11]])), ['entry-2'])
   const sent: Array<[number, string]> = []
   const send = (pid: number, signal: string): void => {
     sent.push([pid, signal])
@@ -103,12 +103,12 @@
   for (const name of files) t.notThrows(() => readSettings(`examples/${name}`, experimentSchema), name)
 })
 
-test('should end with the usage code and one line when the command line is wrong', async t => {
+test('should exit with the usage code and print one line when the command line is invalid', async t => {
   const wrong = [[], ['run', 'missing.toml'], ['run', 'examples/load-faults.toml'], ['run', 'examples/load-steady.toml', '--process', 'x'], ['page', 'package.json', '/dev/null'], ['walk']]
   for (const args of wrong) {
     const errors: string[] = []
-    const parts = { scope: new Scope('test'), version: '0', print: () => {}, printError: (line: string) => errors.push(line) }
-    t.is(await runLoadCommand(['node', 'threaddrum-load', ...args], parts), LoadExitCode.Usage, args.join(' '))
+    const options = { scope: new Scope('test'), version: '0', print: () => {}, printError: (line: string) => errors.push(line) }
+    t.is(await runLoadCommand(['node', 'threaddrum-load', ...args], options), LoadExitCode.Usage, args.join(' '))
     t.is(errors.length, 1, args.join(' '))
   }
 })
--- a/tests/figures/loadRun.test.ts
+++ b/tests/figures/loadRun.test.ts
@@ -40,7 +40,7 @@
   return entry
 }
 
-test('should answer every request in full and break nothing at a host that keeps its promises', async t => {
+test('should report complete answers and no violated invariant for a host without faults', async t => {
   const entry = new FakeEntry()
   const report = await run(entry, { workloads: [service, completion, { ...completion, name: 'second', priorityClass: 'paid' }] })
   t.true(report.all.sentCount > 10)
@@ -49,10 +49,10 @@
   t.is(report.recordCheckedCount, report.byWorkload.find(({ name }) => name === 'review')?.sentCount ?? 0)
   t.is(report.seconds.reduce((sum, { sentCount }) => sum + sentCount, 0), report.all.sentCount)
   t.deepEqual(report.byClass.map(({ name }) => name).sort(), ['(none)', 'paid'])
-  t.is(entry.adviceCount, 1, 'advice is kept while it is valid')
+  t.is(entry.adviceCount, 1, 'advice is cached while it is valid')
 })
 
-test('should come back when a refusal says so, and succeed then', async t => {
+test('should retry at the time that a refusal names, and succeed then', async t => {
   const entry = new FakeEntry()
   entry.decide = (_path, tryNumber) => tryNumber === 1 ? { kind: 'refused', refusal: refusalNotRun(20) } : { kind: 'whole' }
   const report = await run(entry)
@@ -61,7 +61,7 @@
   t.true((report.all.latency?.p50Ms ?? 0) >= 20, 'the pause is part of the latency')
 })
 
-test('should go to the hosts that a refusal names', async t => {
+test('should retry on the hosts that a refusal names', async t => {
   const [first, second] = [new FakeEntry(), new FakeEntry()]
   await second.listen()
   first.decide = () => ({ kind: 'refused', refusal: refusalNotRun(undefined, [second.address]) })
@@ -71,7 +71,7 @@
   t.is(second.triesByPath.size, report.all.sentCount)
 })
 
-test('should count final refusals by reason and whether they ran', async t => {
+test('should count final refusals by reason and whether the request was executed', async t => {
   const report = await run(answering({ kind: 'refused', refusal: refusalNotRun() }))
   t.deepEqual(report.all.refusals, { 'queue_full (executed: no)': report.all.sentCount })
   t.is(report.brokenCount, 0)
@@ -96,7 +96,7 @@
   })
 }
 
-test('should call a cut stream lost, not broken, and send it again', async t => {
+test('should count a disconnected stream as lost, not as a violation, and retry it', async t => {
   const entry = new FakeEntry()
   entry.decide = (_path, tryNumber) => tryNumber === 1 ? { kind: 'cut' } : { kind: 'whole' }
   const report = await run(entry, { workloads: [completion] })
