--- a/standins/announcer.ts
+++ b/standins/announcer.ts
@@ -1,6 +1,6 @@
 /**
- * Announces an endpoint to entry hosts: first to any of the hosts named in
- * its settings, then to those that the replies name.
+ * Announces an endpoint to entry hosts: first to one of the hosts named in the
+ * settings, then to the hosts that the replies name.
  */
 import { request } from 'undici'
 import { announcementReplySchema, type Announcement, type AnnouncementReply } from '../src/protocol/endpoints.js'
@@ -12,28 +12,29 @@
 
 export interface AnnouncerOptions {
   clock: Clock
-  /** `ip:port` of entry hosts to begin with. */
+  /** `ip:port` of the entry hosts that are tried until a reply names others. */
   entryHosts: string[]
   intervalMs: number
-  /** What to announce, asked anew each time. */
+  /** Returns the current state to announce; called for each announcement. */
   describe: () => AnnouncementBody
 }
 
 const MAX_TARGETS = 2
 const REQUEST_TIMEOUT_MS = 2_000
+/** Part of the remaining lease after which the endpoint announces itself again. */
 const LEASE_SHARE = 1 / 3
 
 export class Announcer {
   private readonly _options: AnnouncerOptions
   private _targets: string[] = []
   private _sequence = 0
-  private _nextSeed = 0
+  private _seedIndex = 0
 
   constructor (options: AnnouncerOptions) {
     this._options = options
   }
 
-  /** Hosts that took the last announcement. */
+  /** Hosts that receive the next announcement; empty if none accepted the last one. */
   get targets (): readonly string[] {
     return this._targets
   }
@@ -48,21 +49,21 @@
     }
   }
 
-  /** Announces once to every present target; undefined when none took it. */
+  /** Announces once to every current target; undefined if none accepted it. */
   async announce (): Promise<AnnouncementReply | undefined> {
     const body = { ...this._options.describe(), sequence: ++this._sequence }
-    const targets = this._targets.length > 0 ? this._targets : [this._takeSeed()]
+    const targets = this._targets.length > 0 ? this._targets : [this._nextSeedHost()]
     const replies = await Promise.all(targets.map(target => post(target, body)))
     const reply = replies.find(candidate => candidate !== undefined)
-    const named = reply?.announceTo.slice(0, MAX_TARGETS) ?? []
-    this._targets = named.length > 0 ? named : reply ? targets : []
+    const namedHosts = reply?.announceTo.slice(0, MAX_TARGETS) ?? []
+    this._targets = namedHosts.length > 0 ? namedHosts : reply ? targets : []
     return reply
   }
 
-  private _takeSeed (): string {
+  private _nextSeedHost (): string {
     const { entryHosts } = this._options
-    const seed = entryHosts[this._nextSeed % entryHosts.length]
-    this._nextSeed++
+    const seed = entryHosts[this._seedIndex % entryHosts.length]
+    this._seedIndex++
     if (seed === undefined) throw new Error('an announcer needs at least one entry host')
     return seed
   }
--- a/standins/completionStream.ts
+++ b/standins/completionStream.ts
@@ -1,6 +1,6 @@
 /**
  * One running completion of an engine: a sequence of the batch whose tokens
- * go out as server-sent events and into the engine's record.
+ * are sent as server-sent events and added to the generation record.
  */
 import type { ServerResponse } from 'node:http'
 import { FinishReason, type CompletionChunk, type CompletionRequest } from '../src/protocol/endpoints.js'
@@ -9,16 +9,16 @@
 import { answerLength, tokenAt } from './tokenSource.js'
 
 const MAX_UNSENT_BYTES = 64 * 1024
-const PRIORITY_OF_UNMARKED = 0
+const DEFAULT_PRIORITY = 0
 
 export interface EngineIdentity {
   engineId: string
   engineIncarnation: number
-  /** The version in force at the moment of the call. */
+  /** Returns the current weight version. */
   weightVersion: () => number
 }
 
-export interface CompletionStreamParts {
+export interface CompletionStreamOptions {
   response: ServerResponse
   entry: GenerationEntry
   record: GenerationRecord
@@ -38,8 +38,8 @@
   private readonly _length: number
   private _nextIndex: number
 
-  constructor (request: CompletionRequest, { response, entry, record, identity, meanTokensCount }: CompletionStreamParts) {
-    this.priority = request.priority ?? PRIORITY_OF_UNMARKED
+  constructor (request: CompletionRequest, { response, entry, record, identity, meanTokensCount }: CompletionStreamOptions) {
+    this.priority = request.priority ?? DEFAULT_PRIORITY
     this.prefillChars = request.prompt.length
     this._request = request
     this._response = response
@@ -48,8 +48,8 @@
     this._identity = identity
     this._seed = String(request.seed ?? request.request_id ?? '')
     this._nextIndex = entry.resumedFromToken
-    const wanted = answerLength(request.prompt, this._seed, meanTokensCount, request.max_tokens)
-    this._length = Math.max(wanted, Math.min(request.max_tokens, this._nextIndex + 1))
+    const drawnLength = answerLength(request.prompt, this._seed, meanTokensCount, request.max_tokens)
+    this._length = Math.max(drawnLength, Math.min(request.max_tokens, this._nextIndex + 1))
   }
 
   isStalled (): boolean {
--- a/standins/entryClient.ts
+++ b/standins/entryClient.ts
@@ -1,7 +1,7 @@
 /**
- * How callers and trainers reach the system: they ask any entry host which
- * hosts to use, keep the answer while it is valid, and connect there
- * themselves. No request is sent again here; that is the caller's decision.
+ * Client of the entry hosts for callers and trainers: queries any entry host
+ * for advice, caches the advised hosts while they are valid, and sends requests
+ * to them directly. It never retries a request; retries are up to the caller.
  */
 import { Agent, request, type Dispatcher } from 'undici'
 import { adviceSchema, callerPaths } from '../src/protocol/callers.js'
@@ -10,7 +10,7 @@
 
 export interface EntryClientOptions {
   clock: Clock
-  /** `ip:port` of entry hosts to ask first. */
+  /** `ip:port` of the entry hosts that are queried first. */
   entryHosts: string[]
   dataCentre: string
   callerName: string
@@ -27,7 +27,7 @@
 export type EntryAnswer =
   | { kind: 'answered', host: string, status: number, headers: Dispatcher.ResponseData['headers'], body: Dispatcher.ResponseData['body'] }
   | { kind: 'refused', host: string, status: number, refusal: Refusal }
-  /** Nothing is known of what became of the request. */
+  /** It is unknown whether the request was executed. */
   | { kind: 'lost', host: string, reason: string }
 
 const ADVICE_TIMEOUT_MS = 2_000
@@ -39,18 +39,18 @@
   private readonly _agent = new Agent({ pipelining: 0 })
   private _hosts: string[] = []
   private _validUntilMs = 0
-  private _next = 0
+  private _hostIndex = 0
 
   constructor (options: EntryClientOptions) {
     this._options = options
   }
 
-  /** Hosts to use now, first choice first; the seeds when none gives advice. */
+  /** Hosts to use now, in order of preference; the configured entry hosts if none gives advice. */
   async hosts (): Promise<string[]> {
     if (this._options.clock.nowMs() < this._validUntilMs) return this._hosts
     const candidates = [...new Set([...this._hosts, ...this._options.entryHosts])]
     for (const host of candidates) {
-      const advice = await this._askAdvice(host)
+      const advice = await this._queryAdvice(host)
       if (!advice || advice.hosts.length === 0) continue
       this._hosts = advice.hosts
       this._validUntilMs = this._options.clock.nowMs() + advice.validForMs
@@ -59,16 +59,16 @@
     return this._options.entryHosts
   }
 
-  /** Asks for advice anew at the next use, as after a lost connection. */
+  /** Expires the cached advice, for instance after a lost connection, and moves on to the next host. */
   forgetAdvice (): void {
     this._validUntilMs = 0
-    this._next++
+    this._hostIndex++
   }
 
-  /** Sends a request once, to a host named by the advice. */
+  /** Sends a request once, to one of the advised hosts. */
   async send (entryRequest: EntryRequest): Promise<EntryAnswer> {
     const hosts = await this.hosts()
-    const host = hosts[this._next % hosts.length] ?? ''
+    const host = hosts[this._hostIndex % hosts.length] ?? ''
     return await this.sendTo(host, entryRequest)
   }
 
@@ -93,7 +93,7 @@
     await this._agent.close()
   }
 
-  private async _askAdvice (host: string): Promise<{ hosts: string[], validForMs: number } | undefined> {
+  private async _queryAdvice (host: string): Promise<{ hosts: string[], validForMs: number } | undefined> {
     const { dataCentre, callerName } = this._options
     const query = new URLSearchParams({ dataCentre, caller: callerName })
     const answer = await this.sendTo(host, { method: 'GET', path: `${callerPaths.advice}?${query}`, timeoutMs: ADVICE_TIMEOUT_MS })
@@ -107,7 +107,7 @@
   const text = await answer.body.text()
   const parsed = refusalSchema.safeParse(parseJson(text))
   if (parsed.success) return { kind: 'refused', host, status: answer.statusCode, refusal: parsed.data }
-  return { kind: 'lost', host, reason: `status ${answer.statusCode} with ${text.slice(0, 200)}` }
+  return { kind: 'lost', host, reason: `status ${answer.statusCode}, body is not a refusal: ${text.slice(0, 200)}` }
 }
 
 function parseJson (text: string): unknown {
--- a/standins/generationBatch.ts
+++ b/standins/generationBatch.ts
@@ -1,48 +1,48 @@
 /**
- * Continuous batching: in each round every running sequence gains a few
- * tokens, those that end leave, and waiting ones take their places, highest
- * priority first. A round takes longer the more sequences run in it.
+ * Continuous batching: each round generates a few tokens for every running
+ * sequence, removes completed sequences and admits waiting ones in order of
+ * priority. The duration of a round grows with the number of sequences.
  */
 import { sleepUntil, type Clock } from '../src/utils/clock.js'
 import type { Scope } from '../src/utils/scope.js'
 
 export interface Sequence {
   readonly priority: number
-  /** Characters of the prompt that still have to be read before the first token. */
+  /** Characters of the prompt that still have to be prefilled before the first token. */
   prefillChars: number
-  /** Makes the next tokens; true when the sequence has ended. */
+  /** Generates the next tokens; returns true if the sequence is complete. */
   advance (tokensCount: number): boolean
-  /** Whether its reader has fallen behind. */
+  /** Whether the reader is too slow, so that generation has to wait. */
   isStalled (): boolean
 }
 
-export interface BatchPace {
+export interface BatchSettings {
   maxRunningCount: number
-  /** Time of a round with one sequence. */
+  /** Duration of a round with one sequence. */
   roundMs: number
-  /** Added for every further sequence. */
+  /** Added to the duration of a round for every further sequence. */
   perSequenceMs: number
   tokensPerRound: number
-  /** Characters of prompts read per round. */
+  /** Characters of prompts prefilled per round, over all sequences. */
   prefillCharsPerRound: number
 }
 
-const WAKE_LATE_MS = 60_000
+const MAX_IDLE_WAIT_MS = 60_000
 
 export class GenerationBatch {
   private readonly _clock: Clock
-  private readonly _pace: BatchPace
+  private readonly _settings: BatchSettings
   private readonly _running = new Set<Sequence>()
   private _waiting: Sequence[] = []
   private _wake: () => void = () => {}
-  private _pausedBy = 0
+  private _pausesCount = 0
   private _tokensCount = 0
-  /** Multiplies the time of every round: 5 makes the engine five times slower. */
+  /** Multiplier of the duration of every round; 5 makes the engine five times slower. */
   slowFactor = 1
 
-  constructor (clock: Clock, pace: BatchPace) {
+  constructor (clock: Clock, settings: BatchSettings) {
     this._clock = clock
-    this._pace = pace
+    this._settings = settings
   }
 
   get runningCount (): number {
@@ -53,7 +53,7 @@
     return this._waiting.length
   }
 
-  /** Tokens made since the start. */
+  /** Tokens generated since the start, counting each sequence's last round in full. */
   get tokensCount (): number {
     return this._tokensCount
   }
@@ -69,13 +69,13 @@
     this._waiting = this._waiting.filter(other => other !== sequence)
   }
 
-  /** Stops between two rounds until resumed, as a swap of weights does. */
+  /** Pauses generation until resumed, as a swap of weights does; calls nest. */
   pause (): void {
-    this._pausedBy++
+    this._pausesCount++
   }
 
   resume (): void {
-    this._pausedBy--
+    this._pausesCount--
     this._wake()
   }
 
@@ -84,24 +84,24 @@
     let roundEndsAtMs = this._clock.nowMs()
     for (;;) {
       this._admit()
-      if (this._pausedBy > 0 || this._running.size === 0) {
+      if (this._pausesCount > 0 || this._running.size === 0) {
         await this._idle(scope)
         roundEndsAtMs = this._clock.nowMs()
         continue
       }
       roundEndsAtMs = Math.max(roundEndsAtMs + this._roundDurationMs(), this._clock.nowMs())
       await sleepUntil(this._clock, scope, roundEndsAtMs)
-      if (this._pausedBy === 0) this._advanceAll()
+      if (this._pausesCount === 0) this._advanceAll()
     }
   }
 
   private _roundDurationMs (): number {
-    const { roundMs, perSequenceMs } = this._pace
+    const { roundMs, perSequenceMs } = this._settings
     return this.slowFactor * (roundMs + perSequenceMs * (this._running.size - 1))
   }
 
   private _admit (): void {
-    while (this._running.size < this._pace.maxRunningCount) {
+    while (this._running.size < this._settings.maxRunningCount) {
       const next = this._waiting.shift()
       if (!next) return
       this._running.add(next)
@@ -109,29 +109,29 @@
   }
 
   private _advanceAll (): void {
-    let prefillChars = this._pace.prefillCharsPerRound
+    let remainingChars = this._settings.prefillCharsPerRound
     for (const sequence of this._running) {
       if (sequence.prefillChars > 0) {
-        const readChars = Math.min(prefillChars, sequence.prefillChars)
-        sequence.prefillChars -= readChars
-        prefillChars -= readChars
+        const prefilledChars = Math.min(remainingChars, sequence.prefillChars)
+        sequence.prefillChars -= prefilledChars
+        remainingChars -= prefilledChars
         continue
       }
       if (sequence.isStalled()) continue
-      this._tokensCount += this._pace.tokensPerRound
-      if (sequence.advance(this._pace.tokensPerRound)) this._running.delete(sequence)
+      this._tokensCount += this._settings.tokensPerRound
+      if (sequence.advance(this._settings.tokensPerRound)) this._running.delete(sequence)
     }
   }
 
   private async _idle (scope: Scope): Promise<void> {
     const woken = new Promise<void>(resolve => { this._wake = resolve })
-    const waiting = scope.child('idle')
-    const late = sleepUntil(this._clock, waiting, this._clock.nowMs() + WAKE_LATE_MS)
-    late.catch(() => {})
+    const timeoutScope = scope.child('idle')
+    const timeout = sleepUntil(this._clock, timeoutScope, this._clock.nowMs() + MAX_IDLE_WAIT_MS)
+    timeout.catch(() => {})
     try {
-      await scope.race(Promise.race([woken, late]))
+      await scope.race(Promise.race([woken, timeout]))
     } finally {
-      waiting.close('woken')
+      timeoutScope.close('woken')
     }
   }
 }
--- a/standins/loadLag.ts
+++ b/standins/loadLag.ts
@@ -1,6 +1,6 @@
 /**
- * Load as an endpoint announces it: a reading taken some time ago, with its
- * true age.
+ * Load as an endpoint announces it: a delayed reading together with its actual
+ * age.
  */
 import type { LoadReport } from '../src/protocol/endpoints.js'
 import type { Clock } from '../src/utils/clock.js'
@@ -27,7 +27,7 @@
     this._next = this._published
   }
 
-  /** The newest reading that is at least as old as the lag. */
+  /** Returns the published reading. The next reading replaces it once that is at least as old as the lag. */
   report (): LoadReport {
     const nowMs = this._clock.nowMs()
     if (nowMs - this._next.takenAtMs >= this._lagMs) {
--- a/standins/modelEngine.ts
+++ b/standins/modelEngine.ts
@@ -1,7 +1,8 @@
 /**
- * A model engine that makes up its text: continuous batching, a prefix cache
- * in limited memory, load reported with a lag, orders, and its own record of
- * which version made which token. It speaks src/protocol/endpoints.ts.
+ * Stand-in for a model engine that generates synthetic text: continuous
+ * batching, a bounded prefix cache, load reports with a lag, orders, and a
+ * record of the weight version that generated each token. It implements the
+ * protocol of src/protocol/endpoints.ts.
  */
 import { z } from 'zod'
 import { completionRequestSchema, EngineRole, orderSchema, type EndpointState } from '../src/protocol/endpoints.js'
@@ -14,29 +15,29 @@
 import { GenerationBatch } from './generationBatch.js'
 import { GenerationRecord } from './generationRecord.js'
 import { LoadLag } from './loadLag.js'
-import { OrderDesk, SwapFault, type EngineBody } from './orderDesk.js'
+import { OrderExecutor, SwapFault, type EngineState } from './orderDesk.js'
 import { PrefixCache } from './prefixCache.js'
 import { readJson, sendJson, StandInServer, type StandInExchange } from './standInServer.js'
 import type { EngineSettings } from './standInSettings.js'
-import { untilIdle } from './untilIdle.js'
+import { waitUntilIdle } from './untilIdle.js'
 
-/** PUT /control/faults */
+/** Body of PUT /control/faults. */
 export const engineFaultsSchema = z.strictObject({
   swapFaults: z.array(z.enum(SwapFault)).optional(),
-  /** Rounds take this many times longer. */
+  /** Multiplier of the duration of batch rounds. */
   slowFactor: z.number().positive().optional(),
-  /** Cuts every connection but keeps announcing. */
+  /** Closes every connection once; the engine keeps announcing itself. */
   cutConnections: z.boolean().optional()
 })
 export type EngineFaults = z.infer<typeof engineFaultsSchema>
 
-/** How long a leaving engine stays up at least, so that every host has heard. */
-const LEAVE_GRACE_MS = 1_000
+/** Minimum time that a leaving engine stays up, so that every host receives the update. */
+const DRAIN_GRACE_MS = 1_000
 
 export class ModelEngine {
   readonly server = new StandInServer()
   readonly record: GenerationRecord
-  readonly orders: OrderDesk
+  readonly orders: OrderExecutor
   private readonly _settings: EngineSettings
   private readonly _clock: Clock
   private readonly _scope: Scope
@@ -45,10 +46,10 @@
   private readonly _load: LoadLag
   private readonly _announcer: Announcer
   private readonly _incarnation: number
-  private readonly _body: EngineBody
+  private readonly _state: EngineState
   private _announces = false
-  private _leaving = false
-  private _ownIds = 0
+  private _isLeaving = false
+  private _assignedIdsCount = 0
 
   constructor (settings: EngineSettings, clock: Clock) {
     this._settings = settings
@@ -65,25 +66,25 @@
       intervalMs: settings.announceIntervalMs,
       describe: () => this._describe()
     })
-    this._body = {
+    this._state = {
       weightVersion: settings.weightVersion,
       adapters: [],
       role: EngineRole.Mixed,
-      swap: async apply => await this._swap(apply)
+      swap: async apply => await this._swapWeights(apply)
     }
-    this.orders = new OrderDesk({ clock, body: this._body, checksFencing: settings.checksFencing })
+    this.orders = new OrderExecutor({ clock, state: this._state, checksFencing: settings.checksFencing })
     this._addRoutes()
   }
 
   get weightVersion (): number {
-    return this._body.weightVersion
+    return this._state.weightVersion
   }
 
   get incarnation (): number {
     return this._incarnation
   }
 
-  /** Listens, generates, and announces itself unless told not to. */
+  /** Starts listening and generating, and announces the engine unless `announces` is false. */
   async start (options: { announces: boolean } = { announces: true }): Promise<void> {
     await this.server.listen(this._settings.listenAddress)
     this._spawn(this._batch.run(this._scope))
@@ -91,16 +92,16 @@
     if (options.announces) this._spawn(this._announcer.run(this._scope))
   }
 
-  /** Says that it leaves, finishes what runs, and stops. */
+  /** Announces that the engine is leaving, completes running requests, and stops. */
   async stop (): Promise<void> {
-    this._leaving = true
+    this._isLeaving = true
     if (this._announces) await this._announceNow()
-    await untilIdle(this._clock, this._scope, LEAVE_GRACE_MS, () => this._batch.runningCount + this._batch.waitingCount)
+    await waitUntilIdle(this._clock, this._scope, DRAIN_GRACE_MS, () => this._batch.runningCount + this._batch.waitingCount)
     this._scope.close('stopped')
     await this.server.close()
   }
 
-  /** Ends as a crash does: every connection is cut, nothing is said. */
+  /** Stops as a crash does: closes every connection without an announcement. */
   async kill (): Promise<void> {
     this._scope.close('killed')
     await this.server.kill()
@@ -109,13 +110,13 @@
   setFaults (faults: EngineFaults): void {
     if (faults.swapFaults) this.orders.swapFaults.push(...faults.swapFaults)
     if (faults.slowFactor !== undefined) this._batch.slowFactor = faults.slowFactor
-    if (faults.cutConnections) this.server.cutConnections()
+    if (faults.cutConnections) this.server.closeConnections()
   }
 
   private _addRoutes (): void {
-    this.server.on('POST', '/v1/completions', async exchange => await this._complete(exchange))
-    this.server.on('POST', '/v1/orders', async exchange => await this._order(exchange))
-    this.server.on('GET', '/v1/state', ({ response }) => sendJson(response, 200, this._state()))
+    this.server.on('POST', '/v1/completions', async exchange => await this._handleCompletion(exchange))
+    this.server.on('POST', '/v1/orders', async exchange => await this._handleOrder(exchange))
+    this.server.on('GET', '/v1/state', ({ response }) => sendJson(response, 200, this._describeState()))
     this.server.on('GET', '/record', ({ response }) => sendJson(response, 200, { generations: this.record.entries, orders: this.orders.executed }))
     this.server.on('PUT', '/control/faults', async ({ request, response }) => {
       this.setFaults(engineFaultsSchema.parse(await readJson(request)))
@@ -123,14 +124,14 @@
     })
   }
 
-  private async _complete ({ request, response }: StandInExchange): Promise<void> {
+  private async _handleCompletion ({ request, response }: StandInExchange): Promise<void> {
     const completion = completionRequestSchema.parse(await readJson(request))
-    const requestId = completion.request_id ?? `${this._settings.endpointId}-${++this._ownIds}`
+    const requestId = completion.request_id ?? `${this._settings.endpointId}-${++this._assignedIdsCount}`
     const entry = this.record.begin(requestId, completion.prompt, completion.resume_tokens?.length ?? 0)
     const identity = {
       engineId: this._settings.endpointId,
       engineIncarnation: this._incarnation,
-      weightVersion: () => this._body.weightVersion
+      weightVersion: () => this._state.weightVersion
     }
     const stream = new CompletionStream(completion, { response, entry, record: this.record, identity, meanTokensCount: this._settings.meanTokensCount })
     stream.prefillChars = this._cache.admit(completion.prompt)
@@ -143,9 +144,9 @@
     this._batch.add(stream)
   }
 
-  private async _order ({ request, response }: StandInExchange): Promise<void> {
+  private async _handleOrder ({ request, response }: StandInExchange): Promise<void> {
     const order = orderSchema.parse(await readJson(request))
-    const outcome = await this.orders.take(order)
+    const outcome = await this.orders.submit(order)
     if (this._announces) this._spawn(this._announceNow())
     if (outcome.kind === 'replyLost') response.destroy()
     else sendJson(response, 200, outcome.reply)
@@ -155,24 +156,24 @@
     await this._announcer.announce()
   }
 
-  private async _swap (apply: () => void): Promise<void> {
+  private async _swapWeights (apply: () => void): Promise<void> {
     this._batch.pause()
     try {
       await sleepUntil(this._clock, this._scope, this._clock.nowMs() + this._settings.swapMs)
       apply()
-      this._cache.useVersion(this._body.weightVersion)
+      this._cache.useVersion(this._state.weightVersion)
     } finally {
       this._batch.resume()
     }
   }
 
-  private _state (): EndpointState {
+  private _describeState (): EndpointState {
     return {
       endpointId: this._settings.endpointId,
       incarnation: this._incarnation,
-      weightVersion: this._body.weightVersion,
-      adapters: this._body.adapters,
-      role: this._body.role,
+      weightVersion: this._state.weightVersion,
+      adapters: this._state.adapters,
+      role: this._state.role,
       highestFencingNumber: this.orders.highestFencingNumber,
       lastOrderId: this.orders.lastOrderId
     }
@@ -198,12 +199,12 @@
       incarnation: this._incarnation,
       dataCentre,
       model,
-      weightVersion: this._body.weightVersion,
-      adapters: this._body.adapters,
-      role: this._body.role,
+      weightVersion: this._state.weightVersion,
+      adapters: this._state.adapters,
+      role: this._state.role,
       load: this._load.report(),
       maxConcurrentCount,
-      leaving: this._leaving
+      leaving: this._isLeaving
     }
   }
 
--- a/standins/plainService.ts
+++ b/standins/plainService.ts
@@ -1,6 +1,6 @@
 /**
- * A plain service: answers any path, counts the executions of every request
- * id, and goes wrong on demand in the ways that real ones do.
+ * Stand-in for a plain service: answers any path, counts the executions of
+ * every request id, and injects the faults of real services on demand.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { z } from 'zod'
@@ -14,39 +14,39 @@
 import { LoadLag } from './loadLag.js'
 import { readBody, readJson, sendJson, StandInServer, type StandInExchange } from './standInServer.js'
 import type { ServiceSettings } from './standInSettings.js'
-import { untilIdle } from './untilIdle.js'
+import { waitUntilIdle } from './untilIdle.js'
 
-/** What goes wrong with one call. */
+/** A fault that is injected into one call. */
 export enum ServiceFault {
-  /** Says, truly, that it did not run the call. */
+  /** Refuses the call as not executed, and does not execute it. */
   RefusesNotExecuted = 'refusesNotExecuted',
-  /** Runs it, answers late. */
+  /** Executes the call and answers late. */
   Late = 'late',
-  /** Runs it once, answers twice on the same connection. */
-  Twice = 'twice',
-  /** Runs it, cuts the answer in its middle. */
-  Half = 'half',
-  /** Runs it, answers under another request's id. */
+  /** Executes the call once and answers twice on the same connection. */
+  AnswersTwice = 'twice',
+  /** Executes the call and disconnects halfway through the answer. */
+  TruncatesAnswer = 'half',
+  /** Executes the call and answers with the id of another request. */
   WrongId = 'wrongId',
-  /** Cuts the connection without running it. */
-  DiesOnRead = 'diesOnRead',
-  /** Runs it, cuts the connection before the answer. */
-  DiesOnWrite = 'diesOnWrite',
-  /** Runs it, answers with status 500. */
+  /** Disconnects without executing the call. */
+  DisconnectsBeforeExecution = 'diesOnRead',
+  /** Executes the call and disconnects before the answer. */
+  DisconnectsBeforeAnswer = 'diesOnWrite',
+  /** Executes the call and answers with status 500. */
   Fails = 'fails'
 }
 
-/** PUT /control/faults: the next calls of a path prefix go wrong. */
+/** Body of PUT /control/faults: injects a fault into the next `count` calls below a path prefix. */
 export const serviceFaultSchema = z.strictObject({
   fault: z.enum(ServiceFault),
   count: z.int().min(1).default(1),
   pathPrefix: z.string().default('/'),
   delayMs: z.number().min(0).default(1_000)
 })
-export type ServiceFaultOrder = z.output<typeof serviceFaultSchema>
+export type InjectedServiceFault = z.output<typeof serviceFaultSchema>
 
-/** Computes the answer of one call; also where what it changes is changed. */
-export type ServiceWork = (path: string, body: Buffer) => unknown
+/** Computes the answer to one call and applies its side effects. */
+export type CallHandler = (path: string, body: Buffer) => unknown
 
 interface Call {
   request: IncomingMessage
@@ -56,32 +56,32 @@
   body: Buffer
 }
 
-const LEAVE_GRACE_MS = 1_000
+const DRAIN_GRACE_MS = 1_000
 const RETRY_AFTER_S = 1
 
 export class PlainService {
   readonly server = new StandInServer()
   /** Executions by request id. */
   readonly executions = new Map<string, number>()
-  /** Executions by path, for callers who give each request a path of its own. */
+  /** Executions by path, for callers that give each request its own path. */
   readonly executionsByPath = new Map<string, number>()
   private readonly _settings: ServiceSettings
   private readonly _clock: Clock
-  private readonly _work: ServiceWork
+  private readonly _handleCall: CallHandler
   private readonly _scope: Scope
   private readonly _load: LoadLag
   private readonly _announcer: Announcer
   private readonly _incarnation: number
-  private _faults: ServiceFaultOrder[] = []
+  private _faults: InjectedServiceFault[] = []
   private _runningCount = 0
-  private _unnamedCount = 0
+  private _callsWithoutIdCount = 0
   private _announces = false
-  private _leaving = false
+  private _isLeaving = false
 
-  constructor (settings: ServiceSettings, clock: Clock, work: ServiceWork = echoWork) {
+  constructor (settings: ServiceSettings, clock: Clock, handleCall: CallHandler = echoCall) {
     this._settings = settings
     this._clock = clock
-    this._work = work
+    this._handleCall = handleCall
     this._scope = new Scope(settings.endpointId)
     this._incarnation = clock.wallMs()
     this._load = new LoadLag(clock, settings.loadLagMs, () => ({
@@ -99,7 +99,7 @@
     this._addRoutes()
   }
 
-  /** Executions of all request ids together. */
+  /** Total number of executions. */
   get executionsCount (): number {
     return [...this.executions.values()].reduce((sum, count) => sum + count, 0)
   }
@@ -115,9 +115,9 @@
   }
 
   async stop (): Promise<void> {
-    this._leaving = true
+    this._isLeaving = true
     if (this._announces) await this._announcer.announce()
-    await untilIdle(this._clock, this._scope, LEAVE_GRACE_MS, () => this._runningCount)
+    await waitUntilIdle(this._clock, this._scope, DRAIN_GRACE_MS, () => this._runningCount)
     this._scope.close('stopped')
     await this.server.close()
   }
@@ -127,7 +127,7 @@
     await this.server.kill()
   }
 
-  addFault (fault: ServiceFaultOrder): void {
+  addFault (fault: InjectedServiceFault): void {
     this._faults.push({ ...fault })
   }
 
@@ -148,8 +148,8 @@
     const body = await readBody(request)
     const requestId = this._requestId(request)
     const call = { request, response, requestId, path, body }
-    const fault = this._takeFault(path)
-    if (fault?.fault === ServiceFault.DiesOnRead) return cut(call)
+    const fault = this._nextFault(path)
+    if (fault?.fault === ServiceFault.DisconnectsBeforeExecution) return disconnect(call)
     if (fault?.fault === ServiceFault.RefusesNotExecuted || this._isFull()) return refuse(call)
     this._runningCount++
     try {
@@ -169,41 +169,41 @@
     const count = (this.executions.get(requestId) ?? 0) + 1
     this.executions.set(requestId, count)
     this.executionsByPath.set(path, (this.executionsByPath.get(path) ?? 0) + 1)
-    return this._work(path, body)
+    return this._handleCall(path, body)
   }
 
-  private async _answer (call: Call, answer: unknown, order: ServiceFaultOrder | undefined): Promise<void> {
+  private async _answer (call: Call, answer: unknown, fault: InjectedServiceFault | undefined): Promise<void> {
     const headers = { [REQUEST_ID_HEADER]: call.requestId }
-    switch (order?.fault) {
+    switch (fault?.fault) {
       case ServiceFault.Late:
-        await this._wait(order.delayMs)
+        await this._wait(fault.delayMs)
         return sendJson(call.response, 200, answer, headers)
-      case ServiceFault.Twice:
+      case ServiceFault.AnswersTwice:
         return answerTwice(call, answer)
-      case ServiceFault.Half:
-        return answerHalf(call, answer)
+      case ServiceFault.TruncatesAnswer:
+        return answerTruncated(call, answer)
       case ServiceFault.WrongId:
         return sendJson(call.response, 200, answer, { [REQUEST_ID_HEADER]: `other-${call.requestId}` })
-      case ServiceFault.DiesOnWrite:
-        return cut(call)
+      case ServiceFault.DisconnectsBeforeAnswer:
+        return disconnect(call)
       case ServiceFault.Fails:
-        return sendJson(call.response, 500, { message: 'failed on demand' }, headers)
+        return sendJson(call.response, 500, { message: 'injected failure' }, headers)
       default:
         return sendJson(call.response, 200, answer, headers)
     }
   }
 
   private _requestId (request: IncomingMessage): string {
-    const named = request.headers[REQUEST_ID_HEADER] ?? request.headers[CallerHeader.IdempotencyKey]
-    return typeof named === 'string' ? named : `unnamed-${++this._unnamedCount}`
+    const givenId = request.headers[REQUEST_ID_HEADER] ?? request.headers[CallerHeader.IdempotencyKey]
+    return typeof givenId === 'string' ? givenId : `unnamed-${++this._callsWithoutIdCount}`
   }
 
-  private _takeFault (path: string): ServiceFaultOrder | undefined {
-    const order = this._faults.find(({ pathPrefix }) => path.startsWith(pathPrefix))
-    if (!order) return undefined
-    order.count--
-    if (order.count === 0) this._faults = this._faults.filter(other => other !== order)
-    return order
+  private _nextFault (path: string): InjectedServiceFault | undefined {
+    const fault = this._faults.find(({ pathPrefix }) => path.startsWith(pathPrefix))
+    if (!fault) return undefined
+    fault.count--
+    if (fault.count === 0) this._faults = this._faults.filter(other => other !== fault)
+    return fault
   }
 
   private async _wait (durationMs: number): Promise<void> {
@@ -223,12 +223,12 @@
       role: EngineRole.Mixed,
       load: this._load.report(),
       maxConcurrentCount,
-      leaving: this._leaving
+      leaving: this._isLeaving
     }
   }
 }
 
-function echoWork (path: string, body: Buffer): unknown {
+function echoCall (path: string, body: Buffer): unknown {
   return { path, body: body.toString('utf8') }
 }
 
@@ -236,18 +236,18 @@
   sendJson(response, 503, { message: 'not executed' }, { [NOT_EXECUTED_HEADER]: 'true', 'retry-after': String(RETRY_AFTER_S) })
 }
 
-function cut ({ request }: Call): void {
+function disconnect ({ request }: Call): void {
   request.socket.destroy()
 }
 
 function answerTwice ({ request, response, requestId }: Call, answer: unknown): void {
   const body = JSON.stringify(answer)
-  const whole = `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n${REQUEST_ID_HEADER}: ${requestId}\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`
+  const answerText = `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n${REQUEST_ID_HEADER}: ${requestId}\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`
   response.detachSocket(request.socket)
-  request.socket.write(whole + whole)
+  request.socket.write(answerText + answerText)
 }
 
-function answerHalf ({ request, response, requestId }: Call, answer: unknown): void {
+function answerTruncated ({ request, response, requestId }: Call, answer: unknown): void {
   const body = JSON.stringify(answer)
   response.writeHead(200, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(body), [REQUEST_ID_HEADER]: requestId })
   response.write(body.slice(0, Math.floor(body.length / 2)), () => request.socket.destroy())
--- a/standins/prefixCache.ts
+++ b/standins/prefixCache.ts
@@ -1,6 +1,6 @@
 /**
- * An engine's cache of prompt prefixes, in blocks, in limited memory, least
- * recently used out first. What older weights cached does not serve newer.
+ * An engine's cache of prompt prefixes: a bounded number of blocks with LRU
+ * eviction. A change of the weight version clears it.
  */
 import { LRUCache } from 'lru-cache'
 
@@ -19,7 +19,7 @@
     return 100 * this._blocks.size / this._blocks.max
   }
 
-  /** Takes a prompt in and returns how many of its characters were not cached. */
+  /** Caches the blocks of a prompt and returns the number of its characters that were not cached. */
   admit (prompt: string): number {
     let cachedChars = 0
     let isPrefixCached = true
--- a/standins/recordSchemas.ts
+++ b/standins/recordSchemas.ts
@@ -1,4 +1,4 @@
-/** The forms of GET /record, for checkers that read them over HTTP. */
+/** Schemas of the answers to GET /record, for checkers that read them over HTTP. */
 import { z } from 'zod'
 import { sampleSchema, versionSpanSchema } from '../src/protocol/trainers.js'
 
@@ -14,7 +14,7 @@
 })
 
 export const serviceRecordSchema = z.object({
-  /** Calls that have come in and are not answered. */
+  /** Calls that are running and not yet answered. */
   runningCount: z.int(),
   executions: z.record(z.string(), z.int()),
   executionsByPath: z.record(z.string(), z.int())
--- a/standins/runStandIn.ts
+++ b/standins/runStandIn.ts
@@ -1,4 +1,4 @@
-/** What the processes of all stand-ins share: settings, start, orderly stop. */
+/** Entry point shared by all stand-in processes: reads settings, starts, and stops gracefully. */
 import { parseArgs } from 'node:util'
 import type { z } from 'zod'
 import { SettingsError } from '../src/utils/errors.js'
@@ -11,14 +11,14 @@
 
 const EXIT_USAGE = 2
 
-/** Reads `--settings FILE`, starts, and stops in order on SIGTERM or SIGINT. */
+/** Reads `--settings FILE`, starts the stand-in, and stops it gracefully on SIGTERM or SIGINT. */
 export async function runStandIn<S extends z.ZodType> (schema: S, start: (settings: z.output<S>) => Promise<RunningStandIn>): Promise<void> {
   const settings = readSettingsArgument(schema)
   if (settings === undefined) return
-  const running = await start(settings)
-  process.stdout.write(`listening on ${running.address}\n`)
+  const standIn = await start(settings)
+  process.stdout.write(`listening on ${standIn.address}\n`)
   const stop = (): void => {
-    running.stop().then(() => process.exit(0), () => process.exit(1))
+    standIn.stop().then(() => process.exit(0), () => process.exit(1))
   }
   process.once('SIGTERM', stop)
   process.once('SIGINT', stop)
--- a/standins/scoringService.ts
+++ b/standins/scoringService.ts
@@ -1,4 +1,4 @@
-/** A plain service whose work is to score samples: the share of distinct tokens. */
+/** Stand-in for a scoring service; the score of a sample is its share of distinct tokens. */
 import { SCORE_PATH, scoreRequestSchema, type ScoreReply } from '../src/protocol/endpoints.js'
 import type { Clock } from '../src/utils/clock.js'
 import { PlainService } from './plainService.js'
@@ -9,7 +9,7 @@
 }
 
 function score (path: string, body: Buffer): ScoreReply | { message: string } {
-  if (path !== SCORE_PATH) return { message: `only ${SCORE_PATH} is served here` }
+  if (path !== SCORE_PATH) return { message: `unknown path: only ${SCORE_PATH} is served` }
   const { tokens } = scoreRequestSchema.parse(JSON.parse(body.toString('utf8')))
   return { score: tokens.length === 0 ? 0 : new Set(tokens).size / tokens.length }
 }
--- a/standins/standInServer.ts
+++ b/standins/standInServer.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP server that every stand-in listens with: routes by method and
- * path prefix, JSON bodies, and an end that can be orderly or abrupt.
+ * The HTTP server of all stand-ins: routes by method and path prefix, JSON
+ * bodies, and graceful or abrupt shutdown.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -33,7 +33,7 @@
     this._server.keepAliveTimeout = KEEP_ALIVE_MS
   }
 
-  /** `ip:port` once listening. */
+  /** `ip:port` once listening; empty before. */
   get address (): string {
     return this._address
   }
@@ -47,7 +47,7 @@
     this._routes.push({ method, pathPrefix, handler })
   }
 
-  /** @param address `ip:port`; port 0 picks a free one. */
+  /** @param address `ip:port`; port 0 picks a free port */
   async listen (address: string): Promise<void> {
     const { host, port } = parseAddress(address)
     await new Promise<void>((resolve, reject) => {
@@ -58,19 +58,19 @@
     this._address = `${bound.address}:${bound.port}`
   }
 
-  /** Lets open requests end first. */
+  /** Stops listening and waits for open requests to complete. */
   async close (): Promise<void> {
     const closed = new Promise<void>(resolve => this._server.close(() => resolve()))
     this._server.closeIdleConnections()
     await closed
   }
 
-  /** Cuts every connection, and goes on listening. */
-  cutConnections (): void {
+  /** Closes every connection abruptly and keeps listening. */
+  closeConnections (): void {
     this._server.closeAllConnections()
   }
 
-  /** Cuts every connection, as a crash does. */
+  /** Stops listening and closes every connection abruptly, as a crash does. */
   async kill (): Promise<void> {
     const closed = new Promise<void>(resolve => this._server.close(() => resolve()))
     this._server.closeAllConnections()
@@ -91,9 +91,9 @@
 }
 
 export async function readBody (request: IncomingMessage): Promise<Buffer> {
-  const parts: Buffer[] = []
-  for await (const part of request) parts.push(part as Buffer)
-  return Buffer.concat(parts)
+  const chunks: Buffer[] = []
+  for await (const chunk of request) chunks.push(chunk as Buffer)
+  return Buffer.concat(chunks)
 }
 
 export async function readJson (request: IncomingMessage): Promise<unknown> {
--- a/standins/standInSettings.ts
+++ b/standins/standInSettings.ts
@@ -1,17 +1,17 @@
-/** Settings of the stand-ins, in TOML, checked like those of the programs. */
+/** Schemas of the TOML settings of the stand-ins. */
 import { z } from 'zod'
 import { addressSchema } from '../src/utils/settings.js'
 
 const announced = {
   /** `ip:port` to listen on. */
   listenAddress: addressSchema,
-  /** Entry hosts to announce to at first. */
+  /** Entry hosts that receive the first announcement. */
   entryHosts: z.array(addressSchema).min(1),
   endpointId: z.string().min(1),
   pool: z.string(),
   dataCentre: z.string(),
   announceIntervalMs: z.number().positive().default(500),
-  /** Load is announced as it was this long ago or longer. */
+  /** Minimum age of an announced load reading. */
   loadLagMs: z.number().min(0).default(250),
   maxConcurrentCount: z.int().min(1).default(8)
 }
@@ -27,9 +27,9 @@
   prefillCharsPerRound: z.int().min(1).default(2_000),
   cacheBlocksCount: z.int().min(1).default(1_000),
   meanTokensCount: z.number().positive().default(40),
-  /** Generation stands still this long while weights are swapped. */
+  /** How long generation is paused while weights are swapped. */
   swapMs: z.number().min(0).default(50),
-  /** Where the record is also kept, so that it outlives a crash. */
+  /** File to which the generation record is written, so that it survives a crash. */
   recordFile: z.string().optional()
 })
 export type EngineSettings = z.output<typeof engineSettingsSchema>
@@ -42,7 +42,7 @@
 
 export const weightStoreSettingsSchema = z.strictObject({
   listenAddress: addressSchema,
-  /** For all transfers together. */
+  /** Rate limit shared by all transfers. */
   bytesPerSecond: z.number().positive().default(50_000_000),
   weightBytes: z.int().min(1).default(2_000_000)
 })
@@ -55,10 +55,10 @@
   dataCentre: z.string().default(''),
   weightStoreUrl: z.string(),
   stepsCount: z.int().min(1).default(3),
-  /** Samples of one step, all groups together. */
+  /** Samples per step, over all groups. */
   samplesPerStepCount: z.int().min(1),
   stalenessBoundVersions: z.int().min(0),
-  /** How long the trainer computes between two steps. */
+  /** Simulated training time between two steps. */
   trainMs: z.number().min(0).default(200),
   maxSamplesPerPullCount: z.int().min(1).default(512)
 })
--- a/standins/streamReader.ts
+++ b/standins/streamReader.ts
@@ -1,38 +1,38 @@
-/** Reads a streamed completion and tells whether it is whole. */
+/** Reads a streamed completion and reports whether it is complete. */
 import { EventSourceParserStream } from 'eventsource-parser/stream'
 import { ReadableStream } from 'node:stream/web'
 import { completionChunkSchema, type CompletionChunk } from '../src/protocol/endpoints.js'
 
 export interface ReadStream {
   tokens: string[]
-  /** Runs of tokens as they came. */
+  /** Chunks in order of arrival. */
   chunks: CompletionChunk[]
-  /** True when it ended by the mark of its end; false when it was cut. */
+  /** True if the stream ended with the end mark; false if it was truncated or malformed. */
   isWhole: boolean
-  /** Tokens that came out of place: a gap or a repeat. */
+  /** Chunks whose token offset shows a gap or a repeat. */
   misplacedCount: number
 }
 
 const END_MARK = '[DONE]'
 
-/** @param onChunk called as chunks come */
+/** @param onChunk called for each chunk on arrival */
 export async function readStream (body: AsyncIterable<Uint8Array>, onChunk: (chunk: CompletionChunk) => void = () => {}): Promise<ReadStream> {
-  const read: ReadStream = { tokens: [], chunks: [], isWhole: false, misplacedCount: 0 }
+  const result: ReadStream = { tokens: [], chunks: [], isWhole: false, misplacedCount: 0 }
   const events = ReadableStream.from(body).pipeThrough(new TextDecoderStream()).pipeThrough(new EventSourceParserStream())
   try {
     for await (const { data } of events) {
-      if (data === END_MARK) read.isWhole = true
-      else take(read, completionChunkSchema.parse(JSON.parse(data)), onChunk)
+      if (data === END_MARK) result.isWhole = true
+      else addChunk(result, completionChunkSchema.parse(JSON.parse(data)), onChunk)
     }
   } catch {
-    read.isWhole = false
+    result.isWhole = false
   }
-  return read
+  return result
 }
 
-function take (read: ReadStream, chunk: CompletionChunk, onChunk: (chunk: CompletionChunk) => void): void {
-  if (chunk.token_offset !== read.tokens.length) read.misplacedCount++
-  read.tokens.push(...chunk.tokens)
-  read.chunks.push(chunk)
+function addChunk (result: ReadStream, chunk: CompletionChunk, onChunk: (chunk: CompletionChunk) => void): void {
+  if (chunk.token_offset !== result.tokens.length) result.misplacedCount++
+  result.tokens.push(...chunk.tokens)
+  result.chunks.push(chunk)
   onChunk(chunk)
 }
--- a/standins/tokenSource.ts
+++ b/standins/tokenSource.ts
@@ -1,7 +1,7 @@
 /**
- * Made-up text: which token stands at which place follows from the request
- * and the weight version alone, so a run repeats exactly and a checker can
- * tell whether a token was changed on its way.
+ * Synthetic text: each token depends only on the request, its index and the
+ * weight version, so runs are reproducible and a checker can detect a token
+ * that was changed in transit.
  */
 import { createHash } from 'node:crypto'
 
@@ -16,16 +16,16 @@
   return createHash('sha256').update(text).digest()
 }
 
-/** The token at an index of the whole answer. */
+/** Token at an index of the complete answer. */
 export function tokenAt (prompt: string, seed: string, weightVersion: number, index: number): string {
   const digest = hash(`${prompt}|${seed}|${weightVersion}|${index}`)
   return `${WORDS[digest.readUInt32BE(0) % WORDS.length]} `
 }
 
 /**
- * How many tokens the answer has: heavy-tailed (Pareto), never more than the
- * limit of the request.
- * @param meanTokensCount about the middle of the distribution
+ * Number of tokens of the answer, from a heavy-tailed (Pareto) distribution,
+ * capped at the limit of the request.
+ * @param meanTokensCount mean of the distribution before the cap
  */
 export function answerLength (prompt: string, seed: string, meanTokensCount: number, maxTokensCount: number): number {
   const digest = hash(`length|${prompt}|${seed}`)
--- a/standins/train.ts
+++ b/standins/train.ts
@@ -1,6 +1,6 @@
 /**
  * The process of a trainer: `node dist/standins/train.js --settings FILE`.
- * It serves its report at GET /record while and after it trains.
+ * It serves its report at GET /record during and after training.
  */
 import { systemClock } from '../src/utils/clock.js'
 import { ScopeClosedError } from '../src/utils/errors.js'
--- a/standins/trainer.ts
+++ b/standins/trainer.ts
@@ -1,7 +1,8 @@
 /**
- * A trainer: pulls whole steps, computes for a while, puts new weights into
- * the store and publishes them. Measures how long it stood idle and checks
- * what it gets. It goes on through lost answers, refusals and fenced hosts.
+ * Stand-in for a trainer: pulls complete steps, simulates training, uploads new
+ * weights to the store and publishes them. It checks the samples, measures its
+ * idle time, and retries after lost answers and refusals, including those of
+ * fenced hosts.
  */
 import { request } from 'undici'
 import { callerPaths } from '../src/protocol/callers.js'
@@ -19,7 +20,7 @@
   step: number
   samplesCount: number
   trainerVersion: number
-  /** Time between asking for the step and holding all of it. */
+  /** Time between the first request for the step and the receipt of its last sample. */
   idleMs: number
 }
 
@@ -33,12 +34,12 @@
   violations: string[]
   staleness: number[]
   samples: Sample[]
-  /** Answers that got lost or were refused, and were asked for again. */
+  /** Requests that were repeated because the answer was lost or refused. */
   asksAgainCount: number
 }
 
 const PULL_WAIT_MS = 1_000
-const PAUSE_BEFORE_NEXT_ASK_MS = 100
+const RETRY_DELAY_MS = 100
 
 type Reply = { kind: 'reply', value: unknown } | { kind: 'fenced' }
 
@@ -52,7 +53,7 @@
   private _checks: TrainerChecks
   private _sessionNumber = 0
   private _trainerVersion = 0
-  private _asksAgainCount = 0
+  private _retriesCount = 0
   private _done = false
   private _fenced = false
 
@@ -69,7 +70,7 @@
     })
   }
 
-  /** Runs all steps; ends early when a newer session has fenced this one. */
+  /** Runs all steps; returns early if a newer session has fenced this one. */
   async run (): Promise<TrainerReport> {
     if (await this._openSession()) {
       for (let step = 0; step < this._settings.stepsCount && !this._fenced; step++) await this._runStep(step)
@@ -89,7 +90,7 @@
       violations: this._checks.violations,
       staleness: [...this._checks.staleness],
       samples: this._samples,
-      asksAgainCount: this._asksAgainCount
+      asksAgainCount: this._retriesCount
     }
   }
 
@@ -99,7 +100,7 @@
   }
 
   private async _openSession (): Promise<boolean> {
-    const reply = await this._ask('session', { sessionId: systemRandom().id() })
+    const reply = await this._request('session', { sessionId: systemRandom().id() })
     if (reply.kind === 'fenced') return false
     const { sessionNumber, confirmedPosition } = openSessionReplySchema.parse(reply.value)
     this._sessionNumber = sessionNumber
@@ -108,27 +109,27 @@
   }
 
   private async _runStep (step: number): Promise<void> {
-    const askedAtMs = this._clock.nowMs()
+    const requestedAtMs = this._clock.nowMs()
     const countBefore = this._samples.length
     for (;;) {
       const reply = await this._pull(step)
       if (!reply) return
-      this._take(reply)
+      this._addSamples(reply)
       if (reply.stepComplete) break
     }
-    this._checks.finishStep(step, this._settings.samplesPerStepCount)
+    this._checks.checkStep(step, this._settings.samplesPerStepCount)
     this._steps.push({
       step,
       samplesCount: this._samples.length - countBefore,
       trainerVersion: this._trainerVersion,
-      idleMs: this._clock.nowMs() - askedAtMs
+      idleMs: this._clock.nowMs() - requestedAtMs
     })
     await this._pause(this._settings.trainMs)
     await this._publish(this._trainerVersion + 1)
   }
 
   private async _pull (step: number): Promise<PullReply | undefined> {
-    const reply = await this._ask('pull', {
+    const reply = await this._request('pull', {
       sessionNumber: this._sessionNumber,
       step,
       heldPosition: this._checks.heldPosition,
@@ -139,16 +140,16 @@
     return reply.kind === 'reply' ? pullReplySchema.parse(reply.value) : undefined
   }
 
-  private _take ({ samples }: PullReply): void {
+  private _addSamples ({ samples }: PullReply): void {
     for (const sample of samples) {
-      this._checks.takeSample(sample, this._trainerVersion)
+      this._checks.checkSample(sample, this._trainerVersion)
       this._samples.push(sample)
     }
   }
 
   private async _publish (weightVersion: number): Promise<void> {
     await this._upload(weightVersion)
-    const reply = await this._ask('weights', { sessionNumber: this._sessionNumber, weightVersion })
+    const reply = await this._request('weights', { sessionNumber: this._sessionNumber, weightVersion })
     if (reply.kind === 'reply') this._trainerVersion = weightVersion
   }
 
@@ -157,8 +158,8 @@
     await answer.body.dump()
   }
 
-  /** Asks until there is an answer: every call of the trainers' interface may be repeated. */
-  private async _ask (call: string, body: unknown): Promise<Reply> {
+  /** Sends a request until it is answered. Every call of the trainer protocol is idempotent. */
+  private async _request (call: string, body: unknown): Promise<Reply> {
     const path = `${callerPaths.trainers}${this._settings.job}/${call}`
     for (;;) {
       const answer = await this._scope.race(this._client.send({ method: 'POST', path, body: JSON.stringify(body) }))
@@ -170,9 +171,9 @@
         this._fenced = true
         return { kind: 'fenced' }
       }
-      this._asksAgainCount++
+      this._retriesCount++
       this._client.forgetAdvice()
-      await this._pause(answer.kind === 'refused' ? answer.refusal.retryAfterMs ?? PAUSE_BEFORE_NEXT_ASK_MS : PAUSE_BEFORE_NEXT_ASK_MS)
+      await this._pause(answer.kind === 'refused' ? answer.refusal.retryAfterMs ?? RETRY_DELAY_MS : RETRY_DELAY_MS)
     }
   }
 
--- a/standins/trainerChecks.ts
+++ b/standins/trainerChecks.ts
@@ -1,6 +1,6 @@
 /**
- * What a trainer checks for itself: that samples are fresh, complete and
- * delivered once.
+ * Checks that a trainer makes on its samples: fresh, complete and delivered
+ * exactly once.
  */
 import type { Sample } from '../src/protocol/trainers.js'
 
@@ -10,7 +10,7 @@
   private readonly _attempts = new Set<string>()
   private readonly _staleness: number[] = []
   private _heldPosition: number
-  /** What was wrong, one line each; empty when all is well. */
+  /** One line per violation; empty if every check passed. */
   readonly violations: string[] = []
 
   constructor (stalenessBoundVersions: number, confirmedPosition: number) {
@@ -22,18 +22,18 @@
     return this._heldPosition
   }
 
-  /** Staleness of every sample, in versions. */
+  /** Staleness of each sample at its delivery, in versions. */
   get staleness (): readonly number[] {
     return this._staleness
   }
 
-  takeSample (sample: Sample, trainerVersion: number): void {
+  checkSample (sample: Sample, trainerVersion: number): void {
     const slot = `${sample.step}/${sample.group}/${sample.index}`
     this._expect(sample.position === this._heldPosition + 1, `position ${sample.position} came after ${this._heldPosition}`)
     this._expect(!this._slots.has(slot), `slot ${slot} came twice`)
     this._expect(!this._attempts.has(sample.attemptId), `attempt ${sample.attemptId} came twice`)
     this._expect(sample.tokens.length > 0, `slot ${slot} has no tokens`)
-    this._expect(coversAll(sample), `slot ${slot}: version spans do not cover its ${sample.tokens.length} tokens`)
+    this._expect(coversAllTokens(sample), `slot ${slot}: version spans do not cover its ${sample.tokens.length} tokens`)
     const staleness = trainerVersion - oldestVersion(sample)
     this._expect(staleness <= this._stalenessBoundVersions, `slot ${slot} is ${staleness} versions old`)
     this._heldPosition = Math.max(this._heldPosition, sample.position)
@@ -42,8 +42,8 @@
     this._staleness.push(Math.max(0, staleness))
   }
 
-  /** Checks that a step which the system calls complete is so. */
-  finishStep (step: number, samplesPerStepCount: number): void {
+  /** Checks that a step which the system reports as complete has all its samples. */
+  checkStep (step: number, samplesPerStepCount: number): void {
     const count = [...this._slots].filter(slot => slot.startsWith(`${step}/`)).length
     this._expect(count === samplesPerStepCount, `step ${step} has ${count} samples of ${samplesPerStepCount}`)
   }
@@ -57,11 +57,11 @@
   return Math.min(...sample.versions.map(({ weightVersion }) => weightVersion))
 }
 
-function coversAll ({ tokens, versions }: Sample): boolean {
-  let reached = 0
+function coversAllTokens ({ tokens, versions }: Sample): boolean {
+  let coveredCount = 0
   for (const { fromToken, toToken } of versions) {
-    if (fromToken !== reached || toToken <= fromToken) return false
-    reached = toToken
+    if (fromToken !== coveredCount || toToken <= fromToken) return false
+    coveredCount = toToken
   }
-  return reached === tokens.length
+  return coveredCount === tokens.length
 }
--- a/standins/weightStore.ts
+++ b/standins/weightStore.ts
@@ -1,6 +1,6 @@
 /**
- * A weight store: keeps which versions exist, and serves made-up bytes under
- * one rate limit for all transfers together.
+ * Stand-in for a weight store: tracks which versions exist, and serves
+ * synthetic bytes under a rate limit shared by all transfers.
  */
 import type { ServerResponse } from 'node:http'
 import { sleepUntil, type Clock } from '../src/utils/clock.js'
@@ -25,12 +25,12 @@
   private readonly _scope = new Scope('weightStore')
   private readonly _paths = new Set<string>()
   private readonly _chunk = Buffer.alloc(CHUNK_BYTES, 7)
-  private _paceMs: number
+  private _nextSendAtMs: number
 
   constructor (settings: WeightStoreSettings, clock: Clock) {
     this._settings = settings
     this._clock = clock
-    this._paceMs = clock.nowMs()
+    this._nextSendAtMs = clock.nowMs()
     this.server.on('GET', '/record', ({ response }) => sendJson(response, 200, { paths: [...this._paths], transfers: this.transfers }))
     this.server.on('PUT', '/', async exchange => await this._put(exchange))
     this.server.on('GET', '/', async exchange => await this._get(exchange))
@@ -45,7 +45,7 @@
     await this.server.kill()
   }
 
-  /** Makes a path known without a transfer. */
+  /** Registers a path without an upload. */
   add (path: string): void {
     this._paths.add(path)
   }
@@ -77,10 +77,10 @@
     response.end()
   }
 
-  /** Every chunk of every transfer takes its place in one queue of time. */
+  /** Delays a chunk so that all transfers together stay within the rate limit. */
   private async _waitForTurn (bytes: number): Promise<void> {
     const durationMs = 1000 * bytes / this._settings.bytesPerSecond
-    this._paceMs = Math.max(this._paceMs, this._clock.nowMs()) + durationMs
-    await sleepUntil(this._clock, this._scope, this._paceMs)
+    this._nextSendAtMs = Math.max(this._nextSendAtMs, this._clock.nowMs()) + durationMs
+    await sleepUntil(this._clock, this._scope, this._nextSendAtMs)
   }
 }
--- a/tests/standins/checks.test.ts
+++ b/tests/standins/checks.test.ts
@@ -30,29 +30,29 @@
 
 function violationsOf (...samples: Array<[Sample, number]>): string[] {
   const checks = new TrainerChecks(1, 0)
-  for (const [taken, trainerVersion] of samples) checks.takeSample(taken, trainerVersion)
+  for (const [delivered, trainerVersion] of samples) checks.checkSample(delivered, trainerVersion)
   return checks.violations
 }
 
-test('should accept a fresh, complete sample in its place', t => {
+test('should accept a fresh, complete sample at the expected position', t => {
   t.deepEqual(violationsOf([sample(), 4]), [])
 })
 
-test('should notice a gap, a repeat, a stale sample and a span that is missing', t => {
+test('should detect a gap, a repeat, a stale sample and a missing version span', t => {
   t.regex(violationsOf([sample({ position: 2 }), 4]).join(), /position 2 came after 0/)
   t.regex(violationsOf([sample(), 4], [sample({ position: 2, attemptId: 'a2' }), 4]).join(), /slot 0\/0\/0 came twice/)
   t.regex(violationsOf([sample(), 5]).join(), /2 versions old/)
   t.regex(violationsOf([sample({ versions: sample().versions.slice(1) }), 4]).join(), /do not cover/)
 })
 
-test('should notice a step that is called complete but is not', t => {
+test('should detect a step that is reported complete but is not', t => {
   const checks = new TrainerChecks(1, 0)
-  checks.takeSample(sample(), 4)
-  checks.finishStep(0, 2)
+  checks.checkSample(sample(), 4)
+  checks.checkStep(0, 2)
   t.deepEqual(checks.violations, ['step 0 has 1 samples of 2'])
 })
 
-test('should notice versions and tokens that no engine made', t => {
+test('should detect versions and tokens that no engine generated', t => {
   const file = join(mkdtempSync(join(tmpdir(), 'threaddrum-record-')), 'engine')
   const record = new GenerationRecord(file)
   const entry = record.begin('r1', 'p', 0)
--- a/tests/standins/modelEngine.test.ts
+++ b/tests/standins/modelEngine.test.ts
@@ -52,7 +52,7 @@
   return store
 }
 
-test('should go on behind the tokens it is given and record only its own', async t => {
+test('should resume after the given tokens and record only the tokens it generates', async t => {
   const engine = await startEngine()
   const chunks: CompletionChunk[] = []
   for await (const chunk of complete(engine, { prompt: 'p', seed: 7, request_id: 'r1', max_tokens: 10, resume_tokens: ['a ', 'b ', 'c '] })) chunks.push(chunk)
@@ -64,7 +64,7 @@
   await engine.kill()
 })
 
-test('should name the version of each stretch of tokens when weights change in the middle', async t => {
+test('should report the version of each range of tokens when weights change during a completion', async t => {
   const engine = await startEngine({ meanTokensCount: 10_000 })
   const store = await startStore()
   const versions: number[] = []
@@ -78,7 +78,7 @@
   await store.stop()
 })
 
-test('should refuse an old fencing number only where it checks', async t => {
+test('should refuse an old fencing number only if the engine checks it', async t => {
   const store = await startStore()
   for (const checksFencing of [true, false]) {
     const engine = await startEngine({ checksFencing })
@@ -90,7 +90,7 @@
   await store.stop()
 })
 
-test('should fail a swap on either side of its middle', async t => {
+test('should fail a swap before or after the new version takes effect', async t => {
   const engine = await startEngine()
   const store = await startStore()
   engine.setFaults({ swapFaults: [SwapFault.KeepsOld, SwapFault.ReportsFailure] })
@@ -101,7 +101,7 @@
   await store.stop()
 })
 
-test('should drop a completion whose reader hangs up', async t => {
+test('should cancel a completion whose reader disconnects', async t => {
   const engine = await startEngine({ meanTokensCount: 100_000 })
   for await (const chunk of complete(engine, { prompt: 'p', max_tokens: 100_000 })) {
     if (chunk.token_offset > 0) break
--- a/tests/standins/plainService.test.ts
+++ b/tests/standins/plainService.test.ts
@@ -29,14 +29,14 @@
   }
 }
 
-test('should count executions truly under every fault', async t => {
+test('should count executions correctly under every fault', async t => {
   const service = await startService()
   const expectations: Array<[ServiceFault, number, 'lost' | number]> = [
     [ServiceFault.RefusesNotExecuted, 0, 503],
-    [ServiceFault.DiesOnRead, 0, 'lost'],
-    [ServiceFault.DiesOnWrite, 1, 'lost'],
-    [ServiceFault.Half, 1, 'lost'],
-    [ServiceFault.Twice, 1, 200],
+    [ServiceFault.DisconnectsBeforeExecution, 0, 'lost'],
+    [ServiceFault.DisconnectsBeforeAnswer, 1, 'lost'],
+    [ServiceFault.TruncatesAnswer, 1, 'lost'],
+    [ServiceFault.AnswersTwice, 1, 200],
     [ServiceFault.WrongId, 1, 200],
     [ServiceFault.Fails, 1, 500]
   ]
@@ -49,7 +49,7 @@
   await service.kill()
 })
 
-test('should mark a refusal by the documented header', async t => {
+test('should mark a refusal with the documented header', async t => {
   const service = await startService()
   service.addFault(serviceFaultSchema.parse({ fault: ServiceFault.RefusesNotExecuted }))
   const answer = await call(service, 'r1')
