--- a/demo/addressBlock.ts
+++ b/demo/addressBlock.ts
@@ -1,7 +1,7 @@
 /**
- * Loopback addresses for one system, one per host. A block of sixteen is
- * taken by listening on its last address, so that two systems on one machine
- * never meet, whichever programs started them.
+ * Reserves loopback addresses for one system, one per host. Listening on the
+ * last address of a block of sixteen locks it, so that systems on the same
+ * machine never share addresses, even across programs.
  */
 import { createServer, type Server } from 'node:net'
 
@@ -12,7 +12,7 @@
 const LOCK_HOST = 15
 const LOCK_PORT = 7099
 
-/** The addresses that the files in examples/ name: those of the first block. */
+/** Addresses in the files in examples/, which belong to the first block. */
 const EXAMPLE_ADDRESS = /127\.0\.50\.(\d+)/g
 
 export class AddressBlock {
@@ -26,7 +26,7 @@
     this._lock = lock
   }
 
-  /** Takes the block that the examples name, or else any free one. */
+  /** Reserves the block that the examples use if it is free, or else the next free one. */
   static async take (): Promise<AddressBlock> {
     for (let subnet = FIRST_SUBNET; subnet <= LAST_SUBNET; subnet++) {
       for (let block = 0; block < BLOCKS_PER_SUBNET; block++) {
@@ -34,7 +34,7 @@
         if (lock) return new AddressBlock(subnet, block, lock)
       }
     }
-    throw new Error('no free block of loopback addresses')
+    throw new Error(`no free block of loopback addresses in 127.0.${FIRST_SUBNET}.0 to 127.0.${LAST_SUBNET}.255`)
   }
 
   /** @param host 1 to 14 */
@@ -42,7 +42,7 @@
     return hostAddress(this._subnet, this._block, host)
   }
 
-  /** Replaces the addresses of the examples by those of this block. */
+  /** Replaces the addresses of the examples with those of this block. */
   translate (text: string): string {
     return text.replace(EXAMPLE_ADDRESS, (_address, host: string) => this.ip(Number(host)))
   }
--- a/demo/demoRun.ts
+++ b/demo/demoRun.ts
@@ -1,4 +1,4 @@
-/** The steps of the demo, in order. */
+/** Runs the steps of the demo. */
 import { readResourceFile } from '../src/cli/resourceFile.js'
 import { CallerHeader, callerPaths } from '../src/protocol/callers.js'
 import { ResourceKind, rolloutJobSpecSchema, type RolloutJobSpec } from '../src/protocol/resources.js'
@@ -9,7 +9,7 @@
 import { findFalseVersions } from '../standins/versionCheck.js'
 import { getJson, type LocalSystem } from './localSystem.js'
 import type { ManagedProcess } from './processGroup.js'
-import { progressLine, samplesTable, say, stepsTable } from './report.js'
+import { progressLine, samplesTable, printLine, stepsTable } from './report.js'
 import { waitFor } from './waitFor.js'
 
 const ENGINES_COUNT = 2
@@ -34,33 +34,33 @@
     this._client = new EntryClient({ clock: systemClock, entryHosts: system.entryAddresses, dataCentre: 'hal-a', callerName: 'learner' })
   }
 
-  async bringUp (): Promise<void> {
-    say('starting three control hosts and three entry hosts in two data centres')
+  async start (): Promise<void> {
+    printLine('starting three control hosts and three entry hosts in two data centres')
     this._controls = this._system.startControls()
     this._entries = this._system.startEntries()
     const { leaderHostId, term } = await this._system.waitUntilReady()
-    say(`  control is led by ${leaderHostId ?? 'nobody'} in term ${term}; every entry host holds its lease`)
-    say('starting a weight store, two model engines, a deck service and a scoring service')
+    printLine(`  the control leader is ${leaderHostId ?? 'unknown'} in term ${term}; every entry host holds its lease`)
+    printLine('starting a weight store, two model engines, a deck service and a scoring service')
     const engines = Array.from({ length: ENGINES_COUNT }, (_value, index) => this._system.startEngine(index))
     this._standIns = [this._system.startWeightStore(), ...engines, this._system.startService(), this._system.startScoring()]
     this._system.localFile(DECK_FILE)
-    say(`threaddrum apply --wait ${RESOURCES_FILE}`)
-    await this._command(['apply', '--wait', this._system.localFile(RESOURCES_FILE)])
+    printLine(`threaddrum apply --wait ${RESOURCES_FILE}`)
+    await this._runCommand(['apply', '--wait', this._system.localFile(RESOURCES_FILE)])
   }
 
-  async askAsCaller (): Promise<void> {
+  async sendCallerRequests (): Promise<void> {
     const hosts = await this._client.hosts()
-    say(`a caller asks for advice and is told to use ${hosts.join(', ')}`)
-    const card = await this._ask({ method: 'GET', path: `${callerPaths.services}decks/cards/1` })
-    say(`  plain answer by ${String(card.headers[CallerHeader.ServedBy])}: ${(await card.body.text()).slice(0, MAX_TEXT_CHARS)}`)
-    await this._review()
-    await this._stream()
+    printLine(`a caller requests advice and gets the hosts ${hosts.join(', ')}`)
+    const card = await this._request({ method: 'GET', path: `${callerPaths.services}decks/cards/1` })
+    printLine(`  plain answer from ${String(card.headers[CallerHeader.ServedBy])}: ${(await card.body.text()).slice(0, MAX_TEXT_CHARS)}`)
+    await this._sendReview()
+    await this._streamCompletion()
   }
 
   async train (): Promise<void> {
     const spec = this._jobSpec()
     const samplesPerStepCount = spec.groupSizeCount * spec.groupsPerStepCount
-    say(`a trainer pulls ${STEPS_COUNT} steps of ${samplesPerStepCount} samples and publishes new weights after each`)
+    printLine(`a trainer pulls ${STEPS_COUNT} steps of ${samplesPerStepCount} samples and publishes new weights after each`)
     this._standIns.push(this._system.startTrainer({
       job: 'practice-hints',
       stepsCount: STEPS_COUNT,
@@ -68,73 +68,73 @@
       stalenessBoundVersions: spec.stalenessBoundVersions
     }))
     const record = await this._followTrainer(samplesPerStepCount)
-    say(samplesTable(record))
-    say(stepsTable(record))
-    if (record.violations.length > 0) throw new Error(`the trainer found: ${record.violations.join('; ')}`)
-    const falseVersions = findFalseVersions(record.samples, await this._engineGenerations())
-    if (falseVersions.length > 0) throw new Error(`versions are not true: ${falseVersions.join('; ')}`)
-    say(`checked: ${record.samples.length} samples, fresh, complete, each once, versions as the engines recorded them`)
+    printLine(samplesTable(record))
+    printLine(stepsTable(record))
+    if (record.violations.length > 0) throw new Error(`the trainer reported violations: ${record.violations.join('; ')}`)
+    const mismatches = findFalseVersions(record.samples, await this._engineGenerations())
+    if (mismatches.length > 0) throw new Error(`samples claim versions that the engines did not record: ${mismatches.join('; ')}`)
+    printLine(`checked: ${record.samples.length} samples, fresh, complete, each once, versions as the engines recorded them`)
   }
 
-  async keep (): Promise<void> {
+  async runUntilInterrupted (): Promise<void> {
     const [control = ''] = this._system.controlAddresses
     const [entry = ''] = this._system.entryAddresses
-    say(`the system stays up until Ctrl-C; logs and settings are in ${this._system.folder}`)
-    say(`  callers, trainers, endpoints: ${this._system.entryAddresses.join(' ')}`)
-    say(`  operators: ${this._system.controlAddresses.join(' ')}`)
-    say('try:')
-    say(`  export THREADDRUM_CONTROL=${this._system.controlAddresses.join(',')}`)
-    say('  npx threaddrum status')
-    say('  npx threaddrum get RolloutJob practice-hints')
-    say('  npx threaddrum status --job practice-hints')
-    say('  npx threaddrum drain entry-3')
-    say(`  curl http://${control}/v1/status`)
-    say(`  curl 'http://${entry}/v1/advice?dataCentre=hal-a'`)
-    say(`  curl -N http://${entry}/v1/completions -H 'content-type: application/json' -d '{"model":"practice-lm","prompt":"Kaart","stream":true}'`)
-    await untilInterrupted()
+    printLine(`the system runs until Ctrl-C; logs and settings are in ${this._system.folder}`)
+    printLine(`  callers, trainers, endpoints: ${this._system.entryAddresses.join(' ')}`)
+    printLine(`  operators: ${this._system.controlAddresses.join(' ')}`)
+    printLine('try:')
+    printLine(`  export THREADDRUM_CONTROL=${this._system.controlAddresses.join(',')}`)
+    printLine('  npx threaddrum status')
+    printLine('  npx threaddrum get RolloutJob practice-hints')
+    printLine('  npx threaddrum status --job practice-hints')
+    printLine('  npx threaddrum drain entry-3')
+    printLine(`  curl http://${control}/v1/status`)
+    printLine(`  curl 'http://${entry}/v1/advice?dataCentre=hal-a'`)
+    printLine(`  curl -N http://${entry}/v1/completions -H 'content-type: application/json' -d '{"model":"practice-lm","prompt":"Kaart","stream":true}'`)
+    await waitForInterrupt()
   }
 
   async stop (): Promise<void> {
-    say('stopping in order: entry hosts, stand-ins, control hosts')
+    printLine('stopping entry hosts, stand-ins and control hosts, in this order')
     await this._client.close()
     for (const group of [this._entries, this._standIns, this._controls]) {
       const ends = await Promise.all(group.map(async managed => ({ managed, end: await managed.stop() })))
       const failed = ends.filter(({ end }) => end.code !== 0)
-      if (failed.length > 0) throw new Error(failed.map(({ managed, end }) => `${managed.name} ended with ${end.code ?? end.signal}`).join(', '))
+      if (failed.length > 0) throw new Error(failed.map(({ managed, end }) => `${managed.name} exited with ${end.code ?? end.signal}`).join(', '))
     }
   }
 
-  /** Marks a card reviewed, twice under one key: it runs once. */
-  private async _review (): Promise<void> {
+  /** Sends a review twice with the same idempotency key and checks that it is executed once. */
+  private async _sendReview (): Promise<void> {
     const review: EntryRequest = {
       method: 'POST',
       path: `${callerPaths.services}decks/reviews`,
       headers: { [CallerHeader.IdempotencyKey]: REVIEW_KEY },
       body: JSON.stringify({ card: 1 })
     }
-    const first = await (await this._ask(review)).body.text()
-    const answer = await this._ask(review)
-    if (await answer.body.text() !== first) throw new Error('the answer to a resent review differs')
+    const first = await (await this._request(review)).body.text()
+    const answer = await this._request(review)
+    if (await answer.body.text() !== first) throw new Error('the answer to the repeated review differs from the first answer')
     const { executions } = serviceRecordSchema.parse(await getJson(`${this._system.serviceUrl}/record`))
     const reviewsCount = Object.values(executions).reduce((sum, count) => sum + count, 0) - 1
-    if (reviewsCount !== 1) throw new Error(`the review ran ${reviewsCount} times`)
-    say('  a review sent twice under one Idempotency-Key ran once')
+    if (reviewsCount !== 1) throw new Error(`expected the review to be executed once, but it was executed ${reviewsCount} times`)
+    printLine('  a review sent twice under one Idempotency-Key ran once')
   }
 
-  private async _stream (): Promise<void> {
-    const answer = await this._ask({
+  private async _streamCompletion (): Promise<void> {
+    const answer = await this._request({
       method: 'POST',
       path: callerPaths.completions,
       headers: { [CallerHeader.PriorityClass]: 'learners' },
       body: JSON.stringify({ model: 'practice-lm', prompt: 'Kaart "de brug": geef een oefenhint.', max_tokens: 40, stream: true })
     })
     const { tokens, isWhole, misplacedCount } = await readStream(answer.body)
-    if (!isWhole || misplacedCount > 0 || tokens.length === 0) throw new Error(`the stream was not whole: ${tokens.length} tokens, ${misplacedCount} out of place`)
-    say(`  streamed answer, ${tokens.length} tokens: ${tokens.join('').slice(0, MAX_TEXT_CHARS)}`)
+    if (!isWhole || misplacedCount > 0 || tokens.length === 0) throw new Error(`the stream is not complete: ${tokens.length} tokens, ${misplacedCount} chunks out of order`)
+    printLine(`  streamed answer, ${tokens.length} tokens: ${tokens.join('').slice(0, MAX_TEXT_CHARS)}`)
   }
 
-  /** Asks again, as a caller does, while nothing was executed. */
-  private async _ask (request: EntryRequest): Promise<Answered> {
+  /** Retries a request while it is refused as not executed. */
+  private async _request (request: EntryRequest): Promise<Answered> {
     return await waitFor(`an answer to ${request.method} ${request.path}`, async () => {
       const answer = await this._client.send(request)
       if (answer.kind === 'answered') return answer
@@ -145,13 +145,13 @@
   }
 
   private async _followTrainer (samplesPerStepCount: number): Promise<ReturnType<typeof trainerRecordSchema.parse>> {
-    let nextLineAtMs = 0
+    let nextProgressAtMs = 0
     return await waitFor('the trainer to end', async () => {
       const parsed = trainerRecordSchema.safeParse(await getJson(`${this._system.trainerUrl}/record`))
       if (!parsed.success) return undefined
-      if (performance.now() >= nextLineAtMs || parsed.data.done) {
-        say(progressLine(parsed.data, STEPS_COUNT, samplesPerStepCount))
-        nextLineAtMs = performance.now() + PROGRESS_INTERVAL_MS
+      if (performance.now() >= nextProgressAtMs || parsed.data.done) {
+        printLine(progressLine(parsed.data, STEPS_COUNT, samplesPerStepCount))
+        nextProgressAtMs = performance.now() + PROGRESS_INTERVAL_MS
       }
       return parsed.data.done && parsed.data
     })
@@ -171,19 +171,19 @@
     return rolloutJobSpecSchema.parse(job?.spec)
   }
 
-  private async _command (args: string[]): Promise<void> {
+  private async _runCommand (args: string[]): Promise<void> {
     const command = this._system.startCommand(args)
     const { code } = await command.ended
-    for (const line of command.log().trimEnd().split('\n')) say(`  ${line}`)
-    if (code !== 0) throw new Error(`threaddrum ${args[0]} ended with ${code}`)
+    for (const line of command.log().trimEnd().split('\n')) printLine(`  ${line}`)
+    if (code !== 0) throw new Error(`threaddrum ${args[0]} exited with ${code}`)
   }
 }
 
-async function untilInterrupted (): Promise<void> {
+async function waitForInterrupt (): Promise<void> {
   await new Promise<void>(resolve => {
-    const stayAlive = setInterval(() => {}, PROGRESS_INTERVAL_MS)
+    const keepAlive = setInterval(() => {}, PROGRESS_INTERVAL_MS)
     process.once('SIGINT', () => {
-      clearInterval(stayAlive)
+      clearInterval(keepAlive)
       resolve()
     })
   })
--- a/demo/guardian.ts
+++ b/demo/guardian.ts
@@ -1,7 +1,7 @@
 /**
- * Ends the processes of a demo or a test whose own process has died: it reads
- * process ids, one a line, and kills them when its input ends. A line with a
- * minus before the id takes it off the list.
+ * Kills leftover processes of a demo or test that has exited or crashed. Reads
+ * process ids from standard input, one per line, and kills them when the input
+ * ends. A line with a minus sign before the id removes it from the list.
  */
 import { createInterface } from 'node:readline'
 
@@ -17,6 +17,6 @@
   try {
     process.kill(pid, 'SIGKILL')
   } catch {
-    // It has ended already.
+    // The process has already exited.
   }
 }
--- a/demo/localSystem.ts
+++ b/demo/localSystem.ts
@@ -1,7 +1,7 @@
 /**
- * A whole system on loopback addresses: three control hosts, three entry
- * hosts in two data centres, and the stand-ins around them, each a process of
- * its own. The demo runs it, and so do the tests of whole processes.
+ * A complete system on loopback addresses: three control hosts, three entry
+ * hosts in two data centres, and stand-ins, each in its own process. The demo
+ * and the process tests use it.
  */
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -14,8 +14,8 @@
 import { ProcessGroup, type ManagedProcess } from './processGroup.js'
 import { waitFor } from './waitFor.js'
 
-const DIST = join(dirname(fileURLToPath(import.meta.url)), '..')
-const PRODUCT_FOLDER = join(DIST, '..')
+const DIST_FOLDER = join(dirname(fileURLToPath(import.meta.url)), '..')
+const REPOSITORY_FOLDER = join(DIST_FOLDER, '..')
 
 export const CALLER_PORT = 7100
 const PEER_PORT = 7200
@@ -25,7 +25,7 @@
 const CONTROL_COUNT = 3
 const DATA_CENTRES = ['hal-a', 'hal-a', 'depot']
 
-/** Host numbers within the block of addresses. */
+/** Host numbers within the address block. */
 enum HostNumber {
   FirstControl = 1,
   FirstEntry = 4,
@@ -57,10 +57,10 @@
     this._addresses = addresses
     this._entryOverrides = entryOverrides
     this.folder = mkdtempSync(join(tmpdir(), 'threaddrum-'))
-    this.processes = new ProcessGroup(this.folder, join(DIST, 'demo/guardian.js'))
+    this.processes = new ProcessGroup(this.folder, join(DIST_FOLDER, 'demo/guardian.js'))
   }
 
-  /** @param entryOverrides further tables of the entry hosts' settings */
+  /** @param entryOverrides additional tables for the settings of the entry hosts */
   static async create (entryOverrides: Overrides = {}): Promise<LocalSystem> {
     return new LocalSystem(await AddressBlock.take(), entryOverrides)
   }
@@ -69,7 +69,7 @@
     return range(CONTROL_COUNT).map(index => `${this._controlIp(index)}:${OPERATOR_PORT}`)
   }
 
-  /** Where callers, trainers and endpoints connect. */
+  /** Addresses to which callers, trainers and endpoints connect. */
   get entryAddresses (): string[] {
     return DATA_CENTRES.map((_name, index) => `${this._entryIp(index)}:${CALLER_PORT}`)
   }
@@ -86,16 +86,16 @@
     return `http://${this._addresses.ip(host)}:${STAND_IN_PORT}`
   }
 
-  /** Replaces the addresses of the examples by this system's. */
+  /** Replaces the addresses of the examples with those of this system. */
   translate (text: string): string {
     return this._addresses.translate(text)
   }
 
-  /** A file of the product with its example addresses replaced by this system's. */
+  /** Copies a file of the repository, with the example addresses replaced by those of this system; returns the path of the copy. */
   localFile (path: string): string {
     const target = join(this.folder, path)
     mkdirSync(dirname(target), { recursive: true })
-    writeFileSync(target, this.translate(readFileSync(join(PRODUCT_FOLDER, path), 'utf8')))
+    writeFileSync(target, this.translate(readFileSync(join(REPOSITORY_FOLDER, path), 'utf8')))
     return target
   }
 
@@ -114,7 +114,7 @@
     return this._start(hostId, 'src/bin/threaddrumControl.js', settings)
   }
 
-  /** Where a control host keeps its state. */
+  /** Folder in which a control host stores its state. */
   dataFolder (controlIndex: number): string {
     return join(this.folder, `control-${controlIndex + 1}-data`)
   }
@@ -148,20 +148,20 @@
     const name = `engine-${index + 1}`
     return this.startStandIn({
       name,
-      host: engineHost(index),
+      host: engineHostNumber(index),
       script: 'engine',
-      settings: { ...this._endpoint(name, 'hints', index), ...overrides }
+      settings: { ...this._endpointSettings(name, 'hints', index), ...overrides }
     })
   }
 
   startService (overrides: Overrides = {}): ManagedProcess {
     const name = 'deck-service'
-    return this.startStandIn({ name, host: HostNumber.Service, script: 'service', settings: { ...this._endpoint(name, 'decks', 0), ...overrides } })
+    return this.startStandIn({ name, host: HostNumber.Service, script: 'service', settings: { ...this._endpointSettings(name, 'decks', 0), ...overrides } })
   }
 
   startScoring (overrides: Overrides = {}): ManagedProcess {
     const name = 'scoring-service'
-    return this.startStandIn({ name, host: HostNumber.Scoring, script: 'scoring', settings: { ...this._endpoint(name, 'scoring', 1), ...overrides } })
+    return this.startStandIn({ name, host: HostNumber.Scoring, script: 'scoring', settings: { ...this._endpointSettings(name, 'scoring', 1), ...overrides } })
   }
 
   startWeightStore (overrides: Overrides = {}): ManagedProcess {
@@ -183,7 +183,7 @@
   }
 
   engineUrl (index: number): string {
-    return this.standInUrl(engineHost(index))
+    return this.standInUrl(engineHostNumber(index))
   }
 
   get serviceUrl (): string {
@@ -194,13 +194,13 @@
     return this.standInUrl(HostNumber.Trainer)
   }
 
-  /** The command `threaddrum`, as a process of its own. */
+  /** Starts the command `threaddrum` in its own process. */
   startCommand (args: string[]): ManagedProcess {
     const name = `threaddrum-${args[0]}-${this.processes.processes.length}`
-    return this.processes.start(name, join(DIST, 'src/bin/threaddrum.js'), [...args, '--control', this.controlAddresses.join(',')])
+    return this.processes.start(name, join(DIST_FOLDER, 'src/bin/threaddrum.js'), [...args, '--control', this.controlAddresses.join(',')])
   }
 
-  /** What any control host says; undefined while none does. */
+  /** Status from the first control host that answers; undefined if none does. */
   async status (): Promise<ClusterStatus | undefined> {
     for (const address of this.controlAddresses) {
       const value = await getJson(`http://${address}${operatorPaths.status}`)
@@ -210,7 +210,7 @@
     return undefined
   }
 
-  /** Waits until a leader is known and every entry host may take work. */
+  /** Waits until the control hosts report that every entry host holds its lease. */
   async waitUntilReady (): Promise<ClusterStatus> {
     return await waitFor('every entry host to hold its lease', async () => {
       const status = await this.status()
@@ -219,21 +219,21 @@
     })
   }
 
-  /** Kills what still runs and removes the folder. */
+  /** Kills the remaining processes, releases the addresses and removes the folder. */
   async dispose (): Promise<void> {
     await this.processes.killAll()
     this._addresses.release()
     rmSync(this.folder, { recursive: true, force: true })
   }
 
-  private _endpoint (endpointId: string, pool: string, dataCentreIndex: number): Overrides {
+  private _endpointSettings (endpointId: string, pool: string, dataCentreIndex: number): Overrides {
     return { entryHosts: this.entryAddresses, endpointId, pool, dataCentre: DATA_CENTRES[dataCentreIndex * 2] ?? DATA_CENTRES[0] }
   }
 
   private _start (name: string, script: string, settings: Overrides): ManagedProcess {
     const settingsFile = join(this.folder, `${name}.toml`)
     writeFileSync(settingsFile, stringify(settings))
-    return this.processes.start(name, join(DIST, script), ['--settings', settingsFile])
+    return this.processes.start(name, join(DIST_FOLDER, script), ['--settings', settingsFile])
   }
 
   private _controlIp (index: number): string {
@@ -245,7 +245,7 @@
   }
 }
 
-/** The JSON at a URL; undefined when there is none. */
+/** Fetches JSON from a URL; undefined if the request fails or the body is not JSON. */
 export async function getJson (url: string): Promise<unknown> {
   try {
     const answer = await request(url, { signal: AbortSignal.timeout(2_000) })
@@ -255,9 +255,9 @@
   }
 }
 
-function engineHost (index: number): number {
+function engineHostNumber (index: number): number {
   const host = ENGINE_HOSTS[index]
-  if (host === undefined) throw new Error(`there is room for ${ENGINE_HOSTS.length} engines`)
+  if (host === undefined) throw new Error(`no address for engine ${index + 1}: a system has at most ${ENGINE_HOSTS.length} engines`)
   return host
 }
 
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,13 +1,13 @@
 /**
- * `npm start`: brings up a whole system on loopback addresses, runs a rollout
- * job on a deck of Dutch practice cards through a change of weights, checks
- * the result against the stand-ins' own records, and stops in order. With
- * `--keep` it stays up until Ctrl-C.
+ * `npm start`: starts a complete system on loopback addresses, runs a rollout
+ * job on a deck of Dutch practice cards across weight updates, checks the result
+ * against the records of the stand-ins, and stops gracefully. With `--keep` the
+ * system runs until Ctrl-C.
  */
 import { parseArgs } from 'node:util'
 import { DemoRun } from './demoRun.js'
 import { LocalSystem } from './localSystem.js'
-import { say } from './report.js'
+import { printLine } from './report.js'
 
 const MAX_LOG_LINES = 15
 
@@ -16,15 +16,15 @@
   const system = await LocalSystem.create()
   const run = new DemoRun(system)
   try {
-    await run.bringUp()
-    await run.askAsCaller()
+    await run.start()
+    await run.sendCallerRequests()
     await run.train()
-    if (values.keep) await run.keep()
+    if (values.keep) await run.runUntilInterrupted()
     await run.stop()
-    say('done')
+    printLine('done')
     return 0
   } catch (error) {
-    say(`the demo failed: ${String(error)}`)
+    printLine(`the demo failed: ${String(error)}`)
     showLogs(system)
     return 1
   } finally {
@@ -35,8 +35,8 @@
 function showLogs (system: LocalSystem): void {
   for (const managed of system.processes.processes) {
     const lines = managed.log().trimEnd().split('\n').slice(-MAX_LOG_LINES)
-    say(`--- ${managed.name} ${managed.end ? `(ended with ${managed.end.code ?? managed.end.signal})` : '(running)'}`)
-    say(lines.join('\n'))
+    printLine(`--- ${managed.name} ${managed.end ? `(exited with ${managed.end.code ?? managed.end.signal})` : '(running)'}`)
+    printLine(lines.join('\n'))
   }
 }
 
--- a/demo/processGroup.ts
+++ b/demo/processGroup.ts
@@ -1,6 +1,6 @@
 /**
- * Processes started from outside the product: each has a name and a log file,
- * each is ended by its own id, and none outlives the program that started it.
+ * Manages child processes: each has a name and a log file, each is stopped by
+ * its own process id, and none outlives the program that started it.
  */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { createWriteStream, readFileSync } from 'node:fs'
@@ -14,7 +14,7 @@
 export class ManagedProcess {
   readonly name: string
   readonly logFile: string
-  /** Settles when the process has ended. */
+  /** Resolves once the process has exited and its output is closed. */
   readonly ended: Promise<ProcessEnd>
   private readonly _child: ChildProcess
   private _end: ProcessEnd | undefined
@@ -35,7 +35,7 @@
     return this._child.pid ?? 0
   }
 
-  /** How it ended; undefined while it runs. */
+  /** Exit code or signal; undefined while the process runs. */
   get end (): ProcessEnd | undefined {
     return this._end
   }
@@ -49,7 +49,7 @@
     return await this.ended
   }
 
-  /** What it has written so far. */
+  /** Output of the process so far. */
   log (): string {
     return readFileSync(this.logFile, 'utf8')
   }
@@ -60,7 +60,7 @@
   private readonly _processes: ManagedProcess[] = []
   private readonly _guardian: ChildProcess
 
-  /** @param folder where the log files go */
+  /** @param folder for the log files */
   constructor (folder: string, guardianScript: string) {
     this._folder = folder
     this._guardian = spawn(process.execPath, [guardianScript], { stdio: ['pipe', 'ignore', 'ignore'], detached: true })
@@ -71,14 +71,14 @@
     return this._processes
   }
 
-  /** @param env beside that of this process */
+  /** @param env variables added to the environment of this process */
   start (name: string, script: string, args: string[], env: Record<string, string> = {}): ManagedProcess {
     const logFile = join(this._folder, `${name}.log`)
     const log = createWriteStream(logFile, { flags: 'a' })
     const child = spawn(process.execPath, [script, ...args], {
       stdio: ['ignore', 'pipe', 'pipe'],
       env: { ...process.env, ROARR_LOG: 'true', ...env },
-      // Ctrl-C at the terminal reaches only the program that started it.
+      // Detached, so that Ctrl-C at the terminal interrupts only the program that started the process.
       detached: true
     })
     child.stdout.pipe(log, { end: false })
@@ -93,7 +93,7 @@
     return managed
   }
 
-  /** Kills whatever still runs. */
+  /** Kills all processes that are still running; SIGCONT first resumes stopped ones. */
   async killAll (): Promise<void> {
     await Promise.all(this._processes.map(async managed => {
       managed.signal('SIGCONT')
--- a/demo/report.ts
+++ b/demo/report.ts
@@ -1,4 +1,4 @@
-/** What the demo prints: a progress line, the table of samples, idle time. */
+/** Formats the output of the demo: progress, samples, and steps with their idle time. */
 import Table from 'cli-table3'
 import type { z } from 'zod'
 import type { trainerRecordSchema } from '../standins/recordSchemas.js'
@@ -9,16 +9,16 @@
 const MAX_TEXT_CHARS = 32
 const STYLE = { head: [], border: [], compact: true }
 
-export function say (line: string): void {
+export function printLine (line: string): void {
   process.stdout.write(`${line}\n`)
 }
 
 export function progressLine ({ steps, samples, trainerVersion }: TrainerRecord, stepsCount: number, samplesPerStepCount: number): string {
   const total = stepsCount * samplesPerStepCount
-  return `  training: ${samples.length} of ${total} samples, ${steps.length} of ${stepsCount} steps whole, trainer at version ${trainerVersion}`
+  return `  training: ${samples.length} of ${total} samples, ${steps.length} of ${stepsCount} steps complete, trainer at version ${trainerVersion}`
 }
 
-/** Samples with the versions that made them; staleness is that at delivery. */
+/** Lists samples with the weight versions that generated them and their staleness at delivery. */
 export function samplesTable ({ samples, staleness }: TrainerRecord): string {
   const table = new Table({ head: ['position', 'step', 'group', 'index', 'tokens', 'versions', 'staleness', 'score', 'card'], style: STYLE })
   samples.forEach((sample, index) => {
--- a/demo/waitFor.ts
+++ b/demo/waitFor.ts
@@ -1,15 +1,15 @@
-/** Waits for conditions of other processes, which can only be asked. */
+/** Waits for conditions of other processes by polling. */
 const POLL_MS = 50
-/** Guards against hanging for ever; no verdict depends on it. */
+/** Prevents a wait from hanging forever; no test result depends on the value. */
 const HANG_GUARD_MS = 120_000
 
-/** Asks until the answer is neither undefined nor false. */
-export async function waitFor<T> (what: string, ask: () => Promise<T | undefined | false> | T | undefined | false): Promise<T> {
-  const givesUpAtMs = performance.now() + HANG_GUARD_MS
+/** Polls until the result is neither undefined nor false. */
+export async function waitFor<T> (what: string, poll: () => Promise<T | undefined | false> | T | undefined | false): Promise<T> {
+  const timeoutAtMs = performance.now() + HANG_GUARD_MS
   for (;;) {
-    const answer = await ask()
+    const answer = await poll()
     if (answer !== undefined && answer !== false) return answer
-    if (performance.now() > givesUpAtMs) throw new Error(`waited in vain for ${what}`)
+    if (performance.now() > timeoutAtMs) throw new Error(`timed out after ${HANG_GUARD_MS} ms waiting for ${what}`)
     await new Promise(resolve => setTimeout(resolve, POLL_MS))
   }
 }
