--- a/tests/examples/examples.test.ts
+++ b/tests/examples/examples.test.ts
@@ -19,12 +19,12 @@
   t.notThrows(() => readSettings('examples/fleet-host.toml', fleetHostSettingsSchema))
 })
 
-test('should ship settings whose limits are the defaults, as they say', t => {
+test('should ship settings whose limits are the defaults, as their comments state', t => {
   const { limits } = readSettings('examples/entry.toml', entrySettingsSchema)
   t.deepEqual(limits, defaultLimits)
 })
 
-test('should fill the same sections and keys from the template as the example has', t => {
+test('should have the same sections and keys in the template as in the example', t => {
   const keysOf = (path: string): string[] => {
     const lines = readFileSync(path, 'utf8').split('\n').map(line => line.replace(/^\{\{#[^}]+\}\}/, ''))
     return lines.flatMap(line => /^(\[\w+\]|\w+ =)/.exec(line)?.[0] ?? [])
--- a/tests/examples/readme.test.ts
+++ b/tests/examples/readme.test.ts
@@ -3,14 +3,14 @@
 
 interface Citation {
   file: string
-  /** Undefined where all tests of the file are meant. */
+  /** Undefined if the citation refers to all tests of the file. */
   title?: string
 }
 
-/** `area/file` or the "title" of a test in the file named last. */
+/** Matches `area/file`, or the "title" of a test in the preceding file. */
 const TOKEN = /`(\w+\/\w+)`|"((?:[^"\\]|\\.)+)"/g
 
-/** The tests that the rows of the table of promises cite. */
+/** Tests that are cited in the table of guarantees in README.md. */
 function citations (): Citation[] {
   const [, section = ''] = readFileSync('README.md', 'utf8').split('## What it promises')
   const found: Citation[] = []
--- a/tests/figures/bounds.test.ts
+++ b/tests/figures/bounds.test.ts
@@ -9,35 +9,35 @@
   return checkBounds([bound], [{ name, value, unit }], ['transport'])[0]!
 }
 
-test('should hold a result at its bound and break one above it', t => {
+test('should pass a result at its bound and fail one above it', t => {
   t.true(passes(verdictOf(100)))
   t.is(verdictOf(101).kind, 'broken')
   t.is(verdictOf(NaN).kind, 'broken')
   t.regex(describeVerdict(verdictOf(150)), /FAIL .*bound max 100, ratio to bound 1\.500, read 90 at 0123abc/)
 })
 
-test('should fail when the bounded result is not in the run', t => {
+test('should fail if the run has no result for a bound', t => {
   t.is(verdictOf(1, 'bytes', 'transport.other').kind, 'missing')
 })
 
-test('should refuse to bound what depends on the machine', t => {
+test('should reject a bound on a result that depends on the machine', t => {
   t.is(verdictOf(1, 'us').kind, 'notBoundable')
 })
 
-test('should leave out the bounds of areas that did not run', t => {
+test('should skip the bounds of areas that did not run', t => {
   t.deepEqual(checkBounds([bound], [], ['control']), [])
 })
 
-test('should name a known area in every stored bound', t => {
+test('should refer to a known area in every stored bound', t => {
   const bounds = readBounds()
   t.true(bounds.length > 0)
   for (const { name } of bounds) t.true((name.split('.')[0] ?? '') in areas, name)
 })
 
-test('should name the areas of which a check could not fail', t => {
+test('should list the areas that have no bound', t => {
   t.deepEqual(unboundedAreas([bound], ['transport', 'rollouts']), ['rollouts'])
 })
 
-test('should bound the rollouts', t => {
+test('should have a bound for the rollouts', t => {
   t.deepEqual(unboundedAreas(readBounds(), ['rollouts']), [])
 })
--- a/tests/figures/capacity.test.ts
+++ b/tests/figures/capacity.test.ts
@@ -7,7 +7,7 @@
 
 const straight = [1, 2, 3, 4].map(size => ({ size, values: [9 + 2 * size, 10 + 2 * size, 11 + 2 * size] }))
 
-test('should fit a straight line and see that one bends', t => {
+test('should fit a straight line and detect a curved one', t => {
   const line = fitLine(straight)
   t.deepEqual([line.perUnit.toFixed(6), line.intercept.toFixed(6)], ['2.000000', '10.000000'])
   t.is(bendOf(straight, line).toFixed(6), '1.000000')
@@ -16,13 +16,13 @@
   t.is(Math.round(spreadPercentOf(straight)), 17)
 })
 
-test('should keep the tables of the page as the stored slopes give them', t => {
+test('should have up-to-date tables in the page for the stored slopes', t => {
   t.true(isPageCurrent(), 'run npm run capacity -- --write')
   t.notRegex(capacityTables(), /NaN|undefined|Infinity/)
   t.throws(() => pageWith('no marks', ''))
 })
 
-test('should hold stored slopes of four sizes or more, with command, date and commit', t => {
+test('should store slopes with at least four sizes, and with command, date and commit', t => {
   const { all } = SlopeBook.read()
   t.true(all.length > 10)
   for (const { name, readings, command, commit } of all) {
@@ -32,7 +32,7 @@
   }
 })
 
-test('should not say that a limit holds while a slope that it needs is missing', t => {
+test('should not report that a limit holds if a slope that it depends on is missing', t => {
   const free = SlopeBook.read().all.map(slope => ({ ...slope, perUnit: 0, intercept: 0 }))
   const verdictsOf = (book: SlopeBook): string => verdictTable(controlVerdicts(capacityRows(book), book))
   t.is(verdictsOf(new SlopeBook(free)).match(/\| holds \|/g)?.length, 3)
@@ -41,8 +41,8 @@
   t.regex(without, /control\.clientSteadyBytes.* not measured/)
 })
 
-test('should say that a limit does not hold when it is passed, whatever is missing', t => {
-  const dear = SlopeBook.read().all.map(slope => ({ ...slope, perUnit: 1e9, intercept: 1e9 }))
-  const book = new SlopeBook(dear.filter(({ name }) => name !== 'control.clientSteadyBytes'))
+test('should report an exceeded limit even if slopes are missing', t => {
+  const expensive = SlopeBook.read().all.map(slope => ({ ...slope, perUnit: 1e9, intercept: 1e9 }))
+  const book = new SlopeBook(expensive.filter(({ name }) => name !== 'control.clientSteadyBytes'))
   t.regex(verdictTable(controlVerdicts(capacityRows(book), book)), /does not hold/)
 })
--- a/tools/bundle.mjs
+++ b/tools/bundle.mjs
@@ -1,8 +1,8 @@
 /**
- * Bundles the programs that run on the users' platform, one file each with a
- * cache of its compiled code: a process that was killed is back sooner when it
- * reads one file instead of hundreds and compiles little. Plain JavaScript,
- * because it runs before the compiler has.
+ * Bundles the programs that run on the users' platform, each into one file with
+ * a V8 code cache. A killed process restarts faster if it reads one file instead
+ * of hundreds and has little to compile. Plain JavaScript, because it may run
+ * before the TypeScript build.
  */
 import { execFileSync } from 'node:child_process'
 import { readFileSync } from 'node:fs'
@@ -12,9 +12,9 @@
 
 const PROGRAMS = ['edge', 'control', 'store']
 
-/** Parts of libraries that no program here uses, but would load when it starts: most of undici, and the languages of zod's messages. */
-const unusedParts = {
-  name: 'unused parts',
+/** esbuild plugin that drops library modules which would be loaded at start but are never used: most of undici, and the locales of zod. */
+const dropUnusedModules = {
+  name: 'drop unused modules',
   setup ({ onResolve, onLoad }) {
     onResolve({ filter: /^undici$/ }, () => ({ path: resolve('tools/undiciParts.cjs') }))
     onLoad({ filter: /zod\/v4\/locales\/index\.js$/ }, ({ path }) => ({
@@ -24,8 +24,8 @@
   }
 }
 
-/** The flags of Node.js that the deployment starts a program with; a code cache holds for these only. */
-function flagsOf (name) {
+/** Node.js flags with which the deployment starts a program; V8 rejects a code cache that was written under other flags. */
+function nodeFlagsOf (name) {
   const { roles } = parse(readFileSync('deploy/system.toml', 'utf8'))
   return roles[name].run.split(' ').filter(word => word.startsWith('--'))
 }
@@ -41,10 +41,10 @@
   minifySyntax: true,
   minifyWhitespace: true,
   sourcemap: 'linked',
-  plugins: [unusedParts],
-  // Optional native helpers, which nothing here needs.
+  plugins: [dropUnusedModules],
+  // Optional native dependency that no program uses.
   external: ['unix-dgram'],
   logLevel: 'warning'
 })
 
-for (const name of PROGRAMS) execFileSync(process.execPath, [...flagsOf(name), 'tools/writeCodeCache.cjs', name], { stdio: ['ignore', 'ignore', 'ignore'] })
+for (const name of PROGRAMS) execFileSync(process.execPath, [...nodeFlagsOf(name), 'tools/writeCodeCache.cjs', name], { stdio: ['ignore', 'ignore', 'ignore'] })
--- a/tools/capacity.ts
+++ b/tools/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run capacity`: prints the tables of docs/CAPACITY.md, worked out from
- * the slopes in bench/slopes.json; with `--write` it puts them into the page.
+ * `npm run capacity`: prints the tables of docs/CAPACITY.md, calculated from
+ * the slopes in bench/slopes.json; with `--write` it updates the page.
  */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { pathToFileURL } from 'node:url'
@@ -23,11 +23,11 @@
   ].join('\n\n')
 }
 
-/** The page with its made part replaced. */
+/** Returns the page with its generated section replaced; throws if the marks of the section are missing. */
 export function pageWith (page: string, tables: string): string {
   const from = page.indexOf(BEGIN)
   const to = page.indexOf(END)
-  if (from < 0 || to < from) throw new Error(`${PAGE_PATH}: expected the marks "${BEGIN}" and "${END}"`)
+  if (from < 0 || to < from) throw new Error(`${PAGE_PATH}: expected the marks "${BEGIN}" and "${END}", in this order`)
   return `${page.slice(0, from)}${BEGIN}\n\n${tables}\n\n${page.slice(to)}`
 }
 
--- a/tools/capacity/events.ts
+++ b/tools/capacity/events.ts
@@ -1,6 +1,7 @@
 /**
- * Ordinary and bad days at the target size, in messages and seconds: seconds
- * from the programs' own timers, messages and time from measured slopes.
+ * Failures and restarts at the target size, in messages and seconds. The
+ * seconds come from the timers of the programs, the leader's processor time
+ * from measured slopes.
  */
 import { CONFIGURATION_LEASE_MS } from '../../src/control/hosts/leaseTable.js'
 import { SILENCE_MS } from '../../src/control/hosts/silentHosts.js'
@@ -18,20 +19,20 @@
   return `${(ms / MS_PER_SECOND).toFixed(1)} s`
 }
 
-/** Pushed notices, and pairs of connections, when hosts go and come. */
+/** Number of pushed notifications and of connection handshakes when hosts leave and rejoin. */
 function restartMessages (hostsCount: number): { pushes: number, hellos: number } {
   const connections = hostsPerDataCentre - 1 + target.dataCentres - 1
   return { pushes: hostsCount * CHANGES_PER_RESTART * target.entryHosts, hellos: Math.round(hostsCount * connections * 2) }
 }
 
-function leaderMs (book: SlopeBook, hostsCount: number): number | undefined {
+function leaderProcessorMs (book: SlopeBook, hostsCount: number): number | undefined {
   const changeUs = book.at('control.changeLeaderUs', target.entryHosts)
   return changeUs === undefined ? undefined : hostsCount * changeUs / MS_PER_SECOND
 }
 
 function row (what: string, book: SlopeBook, hostsCount: number, consequence: string): string {
   const { pushes, hellos } = restartMessages(hostsCount)
-  const ms = leaderMs(book, hostsCount)
+  const ms = leaderProcessorMs(book, hostsCount)
   const busy = ms === undefined ? 'not measured' : seconds(ms)
   return `| ${what} | ${hostsCount} | ${pushes.toLocaleString('en')} | ${hellos.toLocaleString('en')} | ${busy} | ${consequence} |`
 }
--- a/tools/capacity/rows.ts
+++ b/tools/capacity/rows.ts
@@ -1,6 +1,6 @@
 /**
- * The rows of the capacity tables: each is one cost of one role at the target
- * size, worked out from measured slopes, with the mechanism that carries it.
+ * Rows of the capacity tables: each is one cost of one role at the target size,
+ * calculated from measured slopes, with the mechanism that causes it.
  */
 import { assumed, hostsPerDataCentre, SECONDS_PER_DAY, target } from './target.js'
 import type { SlopeBook } from './slopeBook.js'
@@ -15,7 +15,7 @@
 }
 
 export interface Cost {
-  /** Percent of one core. */
+  /** Processor time in percent of one core. */
   corePercent?: number
   kilobytesPerSecond?: number
   megabytes?: number
@@ -25,7 +25,7 @@
   role: Role
   what: string
   cost: Cost
-  /** Slopes it comes from. */
+  /** Names of the slopes from which the cost is calculated. */
   slopes: string[]
   mechanism: string
 }
@@ -42,11 +42,11 @@
   return bytesPerSecond === undefined ? undefined : Math.max(0, bytesPerSecond) / BYTES_PER_KB
 }
 
-function times (value: number | undefined, factor: number): number | undefined {
+function multiply (value: number | undefined, factor: number): number | undefined {
   return value === undefined ? undefined : value * factor
 }
 
-export function minus (value: number | undefined, other: number | undefined): number | undefined {
+export function subtract (value: number | undefined, other: number | undefined): number | undefined {
   return value === undefined || other === undefined ? undefined : value - other
 }
 
@@ -55,18 +55,18 @@
 const announcementsPerSecond = target.engines * assumed.announceToHosts / assumed.announceEverySeconds
 const slotLeasesPerSecond = target.entryHosts / 5
 export const unrepeatablePerSecond = target.requestsPerSecond * assumed.unrepeatablePart
-/** Slot leases, a lease and a commit a sample, and unrepeatable requests. */
+/** Commands per second: slot leases, a lease and a commit per sample, and unrepeatable requests. */
 export const commandsPerSecond = slotLeasesPerSecond + 2 * samplesPerSecond + assumed.commandsPerUnrepeatable * unrepeatablePerSecond
 
-/** Hosts of the two arrangements that the cost of endpoints was read in; the announcements are the same in both. */
+/** Host counts of the two setups in which the cost of endpoints was measured; both have the same announcements. */
 const FEW_HOSTS = 6
 const MANY_HOSTS = 18
 
-/** What following one endpoint costs a host that it does not announce to. */
+/** Cost per endpoint, in microseconds per second, for a host to which the endpoint does not announce itself. */
 export function followUs (book: SlopeBook): number | undefined {
-  const many = times(book.perUnit('directory.endpointProcessorOf18Us'), MANY_HOSTS)
-  const few = times(book.perUnit('directory.endpointProcessorUs'), FEW_HOSTS)
-  return times(minus(many, few), 1 / (MANY_HOSTS - FEW_HOSTS))
+  const many = multiply(book.perUnit('directory.endpointProcessorOf18Us'), MANY_HOSTS)
+  const few = multiply(book.perUnit('directory.endpointProcessorUs'), FEW_HOSTS)
+  return multiply(subtract(many, few), 1 / (MANY_HOSTS - FEW_HOSTS))
 }
 
 function entryControlRows (book: SlopeBook): CapacityRow[] {
@@ -83,7 +83,7 @@
     {
       role,
       what: `${target.changesPerDay} changes a day, watched`,
-      cost: { kilobytesPerSecond: kilobytes(times(book.perUnit('control.changeLeaderBytes'), changesPerSecond)) },
+      cost: { kilobytesPerSecond: kilobytes(multiply(book.perUnit('control.changeLeaderBytes'), changesPerSecond)) },
       slopes: ['control.changeLeaderBytes'],
       mechanism: 'the leader pushes each committed change to every host once'
     },
@@ -105,21 +105,21 @@
     {
       role,
       what: `load of ${engines} engines, changed every ${assumed.announceEverySeconds} s`,
-      cost: { corePercent: corePercent(times(followUs(book), engines)), kilobytesPerSecond: kilobytes(times(book.perUnit('directory.endpointBytesPerSecond'), engines)) },
+      cost: { corePercent: corePercent(multiply(followUs(book), engines)), kilobytesPerSecond: kilobytes(multiply(book.perUnit('directory.endpointBytesPerSecond'), engines)) },
       slopes: ['directory.endpointProcessorUs', 'directory.endpointProcessorOf18Us', 'directory.endpointBytesPerSecond'],
       mechanism: 'batched load records to every host of the data centre'
     },
     {
       role,
       what: 'announcements that it takes itself',
-      cost: { corePercent: corePercent(times(book.perUnit('directory.announceUs'), announcementsPerSecond / entryHosts)) },
+      cost: { corePercent: corePercent(multiply(book.perUnit('directory.announceUs'), announcementsPerSecond / entryHosts)) },
       slopes: ['directory.announceUs'],
       mechanism: 'each endpoint announces to 3 hosts by rendezvous hashing'
     },
     {
       role,
-      what: `the whole process, resident, with ${engines} endpoints known (${(times(book.at('directory.knownLiveBytes', engines), 1 / BYTES_PER_MB) ?? 0).toFixed(0)} MB of it alive)`,
-      cost: { megabytes: times(book.at('directory.knownResidentBytes', engines), 1 / BYTES_PER_MB) },
+      what: `the whole process, resident, with ${engines} endpoints known (${(multiply(book.at('directory.knownLiveBytes', engines), 1 / BYTES_PER_MB) ?? 0).toFixed(0)} MB of it alive)`,
+      cost: { megabytes: multiply(book.at('directory.knownResidentBytes', engines), 1 / BYTES_PER_MB) },
       slopes: ['directory.knownResidentBytes', 'directory.knownLiveBytes'],
       mechanism: 'one record an endpoint; most of it is Node with its libraries'
     }
@@ -135,28 +135,28 @@
     {
       role,
       what: `${requests.toFixed(1)} requests a second`,
-      cost: { corePercent: corePercent(times(book.perUnit('requests.plainCallUs'), requests)) },
+      cost: { corePercent: corePercent(multiply(book.perUnit('requests.plainCallUs'), requests)) },
       slopes: ['requests.plainCallUs'],
       mechanism: 'advice spreads callers over the hosts'
     },
     {
       role,
       what: `choice among ${target.engines} endpoints, the same requests`,
-      cost: { corePercent: corePercent(times(book.at('requests.assignUs', target.engines), requests)) },
+      cost: { corePercent: corePercent(multiply(book.at('requests.assignUs', target.engines), requests)) },
       slopes: ['requests.assignUs'],
       mechanism: 'the choice looks at every endpoint of the pool'
     },
     {
       role,
       what: `${tokens.toFixed(0)} tokens a second, one a chunk`,
-      cost: { corePercent: corePercent(times(book.perUnit('requests.tokenUs'), tokens)) },
+      cost: { corePercent: corePercent(multiply(book.perUnit('requests.tokenUs'), tokens)) },
       slopes: ['requests.tokenUs'],
       mechanism: 'each chunk is checked, put in order and passed on'
     },
     {
       role,
       what: `${streams.toFixed(0)} open streams of ${assumed.tokensPerSecondPerStream} tokens a second`,
-      cost: { megabytes: times(book.perUnit('requests.openStreamBytes'), streams / BYTES_PER_MB) },
+      cost: { megabytes: multiply(book.perUnit('requests.openStreamBytes'), streams / BYTES_PER_MB) },
       slopes: ['requests.openStreamBytes'],
       mechanism: 'bounded buffers, back pressure to the engine'
     }
@@ -170,28 +170,28 @@
     {
       role,
       what: `${entryHosts} leases, renewed every second`,
-      cost: { corePercent: corePercent(book.at('control.leaderSteadyUs', entryHosts)), kilobytesPerSecond: kilobytes(book.at('control.leaderSteadyBytes', entryHosts)), megabytes: times(book.at('control.leaderLiveBytes', entryHosts), 1 / BYTES_PER_MB) },
+      cost: { corePercent: corePercent(book.at('control.leaderSteadyUs', entryHosts)), kilobytesPerSecond: kilobytes(book.at('control.leaderSteadyBytes', entryHosts)), megabytes: multiply(book.at('control.leaderLiveBytes', entryHosts), 1 / BYTES_PER_MB) },
       slopes: ['control.leaderSteadyUs', 'control.leaderSteadyBytes', 'control.leaderLiveBytes'],
       mechanism: 'leases in memory of the leader, no log entry each'
     },
     {
       role,
       what: `${target.changesPerDay} changes a day to ${entryHosts} hosts`,
-      cost: { corePercent: corePercent(times(book.at('control.changeLeaderUs', entryHosts), changesPerSecond)), kilobytesPerSecond: kilobytes(times(book.at('control.changeLeaderBytes', entryHosts), changesPerSecond)) },
+      cost: { corePercent: corePercent(multiply(book.at('control.changeLeaderUs', entryHosts), changesPerSecond)), kilobytesPerSecond: kilobytes(multiply(book.at('control.changeLeaderBytes', entryHosts), changesPerSecond)) },
       slopes: ['control.changeLeaderUs', 'control.changeLeaderBytes'],
       mechanism: 'one push to each host'
     },
     {
       role,
       what: `${commandsPerSecond.toFixed(0)} commands a second: ${slotLeasesPerSecond.toFixed(0)} slot leases, ${(2 * samplesPerSecond).toFixed(0)} for samples, ${(assumed.commandsPerUnrepeatable * unrepeatablePerSecond).toFixed(0)} for unrepeatable requests`,
-      cost: { corePercent: corePercent(times(book.perUnit('control.commitLeaderUs'), commandsPerSecond)), kilobytesPerSecond: kilobytes(times(book.perUnit('control.commitLeaderBytes'), commandsPerSecond)) },
+      cost: { corePercent: corePercent(multiply(book.perUnit('control.commitLeaderUs'), commandsPerSecond)), kilobytesPerSecond: kilobytes(multiply(book.perUnit('control.commitLeaderBytes'), commandsPerSecond)) },
       slopes: ['control.commitLeaderUs', 'control.commitLeaderBytes'],
       mechanism: 'group commit: one sync for all that waits'
     },
     {
       role,
       what: `${trainers} ledgers of ${samplesPerStep} samples a step, applied`,
-      cost: { corePercent: corePercent(times(book.at('rollouts.stepApplyUs', samplesPerStep), trainers / assumed.stepSeconds)), megabytes: times(book.at('rollouts.stepSnapshotBytes', samplesPerStep), trainers / BYTES_PER_MB) },
+      cost: { corePercent: corePercent(multiply(book.at('rollouts.stepApplyUs', samplesPerStep), trainers / assumed.stepSeconds)), megabytes: multiply(book.at('rollouts.stepSnapshotBytes', samplesPerStep), trainers / BYTES_PER_MB) },
       slopes: ['rollouts.stepApplyUs', 'rollouts.stepSnapshotBytes'],
       mechanism: 'the ledger keeps the current step only'
     }
@@ -202,13 +202,13 @@
   return [{
     role: Role.ControlFollower,
     what: `the same ${commandsPerSecond.toFixed(0)} commands a second, replicated`,
-    cost: { corePercent: corePercent(times(book.perUnit('control.commitFollowerUs'), commandsPerSecond)), kilobytesPerSecond: kilobytes(times(book.perUnit('control.commitFollowerBytes'), commandsPerSecond)) },
+    cost: { corePercent: corePercent(multiply(book.perUnit('control.commitFollowerUs'), commandsPerSecond)), kilobytesPerSecond: kilobytes(multiply(book.perUnit('control.commitFollowerBytes'), commandsPerSecond)) },
     slopes: ['control.commitFollowerUs', 'control.commitFollowerBytes'],
     mechanism: 'batches of entries, one sync each'
   }]
 }
 
-/** Control hosts that the slopes of the users' platform were read with; a host follows each of them. */
+/** Number of control hosts in the measurements for the users' platform; each host follows all of them. */
 const MEASURED_CONTROLS = 4
 
 function platformHostRows (book: SlopeBook): CapacityRow[] {
@@ -219,14 +219,14 @@
     {
       role,
       what: `${entryHosts} hosts, known from ${controlHostsAtMost} control hosts`,
-      cost: { corePercent: corePercent(times(book.at('fleetHosts.hostUs', entryHosts), controls)), kilobytesPerSecond: kilobytes(times(book.at('fleetHosts.hostBytes', entryHosts), controls)) },
+      cost: { corePercent: corePercent(multiply(book.at('fleetHosts.hostUs', entryHosts), controls)), kilobytesPerSecond: kilobytes(multiply(book.at('fleetHosts.hostBytes', entryHosts), controls)) },
       slopes: ['fleetHosts.hostUs', 'fleetHosts.hostBytes'],
       mechanism: 'a sign of life to each control host twice a second; hosts are told by change'
     },
     {
       role,
       what: `${engines} engines with new weights every few seconds`,
-      cost: { corePercent: corePercent(times(book.perUnit('fleetEndpoints.hostUs'), engines)), kilobytesPerSecond: kilobytes(times(book.perUnit('fleetEndpoints.hostBytes'), engines)) },
+      cost: { corePercent: corePercent(multiply(book.perUnit('fleetEndpoints.hostUs'), engines)), kilobytesPerSecond: kilobytes(multiply(book.perUnit('fleetEndpoints.hostBytes'), engines)) },
       slopes: ['fleetEndpoints.hostUs', 'fleetEndpoints.hostBytes'],
       mechanism: 'an endpoint is told when it comes, moves or leaves; its weights to store hosts only'
     }
@@ -240,14 +240,14 @@
     {
       role,
       what: `${entryHosts} hosts that follow`,
-      cost: { corePercent: corePercent(book.at('fleetHosts.controlUs', entryHosts)), kilobytesPerSecond: kilobytes(book.at('fleetHosts.controlBytes', entryHosts)), megabytes: times(book.at('fleetHosts.controlLiveBytes', entryHosts), 1 / BYTES_PER_MB) },
+      cost: { corePercent: corePercent(book.at('fleetHosts.controlUs', entryHosts)), kilobytesPerSecond: kilobytes(book.at('fleetHosts.controlBytes', entryHosts)), megabytes: multiply(book.at('fleetHosts.controlLiveBytes', entryHosts), 1 / BYTES_PER_MB) },
       slopes: ['fleetHosts.controlUs', 'fleetHosts.controlBytes', 'fleetHosts.controlLiveBytes'],
       mechanism: 'one session a host; a push is encoded once for all'
     },
     {
       role,
       what: `its share of ${engines} engines, one of ${controlHostsAtMost} control hosts`,
-      cost: { corePercent: corePercent(times(book.perUnit('fleetEndpoints.controlUs'), engines * MEASURED_CONTROLS / controlHostsAtMost)), kilobytesPerSecond: kilobytes(times(book.perUnit('fleetEndpoints.controlBytes'), engines * MEASURED_CONTROLS / controlHostsAtMost)) },
+      cost: { corePercent: corePercent(multiply(book.perUnit('fleetEndpoints.controlUs'), engines * MEASURED_CONTROLS / controlHostsAtMost)), kilobytesPerSecond: kilobytes(multiply(book.perUnit('fleetEndpoints.controlBytes'), engines * MEASURED_CONTROLS / controlHostsAtMost)) },
       slopes: ['fleetEndpoints.controlUs', 'fleetEndpoints.controlBytes'],
       mechanism: 'each endpoint keeps to one control host'
     }
--- a/tools/capacity/slopeBook.ts
+++ b/tools/capacity/slopeBook.ts
@@ -1,5 +1,5 @@
 /**
- * The stored slopes, and which of them a calculation has used.
+ * Looks up stored slopes by name and extrapolates them.
  */
 import { readFileSync } from 'node:fs'
 import { extrapolate, slopesSchema, SLOPES_PATH, type Slope } from '../../bench/slopes/slope.js'
@@ -19,7 +19,7 @@
     return [...this._slopes.values()]
   }
 
-  /** The straight line's value at a size. Undefined when the slope was not measured. */
+  /** Value of the fitted line at a size; undefined if the slope was not measured. */
   at (name: string, size: number): number | undefined {
     const slope = this._slopes.get(name)
     return slope && extrapolate(slope, size)
@@ -29,7 +29,7 @@
     return this._slopes.get(name)?.perUnit
   }
 
-  /** Those of the names that were not measured. */
+  /** Names among the given ones that were not measured. */
   missing (names: readonly string[]): string[] {
     return names.filter(name => !this._slopes.has(name))
   }
--- a/tools/capacity/tables.ts
+++ b/tools/capacity/tables.ts
@@ -1,5 +1,5 @@
 /**
- * The capacity tables as Markdown.
+ * Renders the capacity tables as Markdown.
  */
 import { Role, type CapacityRow, type Cost } from './rows.js'
 import type { SlopeBook } from './slopeBook.js'
@@ -8,7 +8,7 @@
 export interface Verdict {
   what: string
   value: number | undefined
-  /** Slopes that it needs and that were not measured. */
+  /** Slopes that the value depends on but that were not measured. */
   missing: string[]
   limit: number
   unit: string
@@ -38,7 +38,7 @@
   return `### ${role}\n\n${table(['what', '% of a core', 'KB/s', 'MB', 'carried by', 'from'], [...cells, total])}`
 }
 
-/** The letter's limits on what control costs an entry host. */
+/** Compares the cost of control on an entry host with the required limits. */
 export function controlVerdicts (rows: readonly CapacityRow[], book: SlopeBook): Verdict[] {
   const own = rows.filter(({ role }) => role === Role.EntryControl)
   const missing = book.missing(own.flatMap(({ slopes }) => slopes))
--- a/tools/capacity/target.ts
+++ b/tools/capacity/target.ts
@@ -1,6 +1,6 @@
 /**
- * The size that the design is built towards, as docs/DEVELOPERS.md states it,
- * and the assumptions that the page adds where that says nothing.
+ * The size for which the system is designed, as stated in docs/DEVELOPERS.md,
+ * and the additional assumptions of docs/CAPACITY.md.
  */
 export const target = {
   entryHosts: 370,
@@ -15,7 +15,7 @@
   inForceSeconds: 8,
   dataCentres: 4,
   controlHostsAtMost: 6,
-  /** Of one entry host, for control. */
+  /** Limits on the cost of control on one entry host: processor time, memory and traffic. */
   controlCorePercent: 1.5,
   controlMegabytes: 128,
   controlKilobytesPerSecond: 19,
@@ -24,15 +24,15 @@
 } as const
 
 export const assumed = {
-  /** Endpoints tell a changed load this often. */
+  /** Interval at which endpoints announce a changed load. */
   announceEverySeconds: 1,
   announceToHosts: 3,
-  /** A step's samples come in evenly over the time between two weight versions. */
+  /** The samples of a step arrive evenly over the interval between two weight versions. */
   stepSeconds: target.weightsEverySeconds,
-  /** Part of the requests that may not be repeated. */
+  /** Fraction of the requests that must not be repeated. */
   unrepeatablePart: 0.02,
   commandsPerUnrepeatable: 2,
-  /** Tokens a second of one stream, which gives the number of open ones. */
+  /** Tokens per second of one stream, which determines the number of open streams. */
   tokensPerSecondPerStream: 30,
   rackHosts: 20
 } as const
--- a/tools/runTests.ts
+++ b/tools/runTests.ts
@@ -1,6 +1,7 @@
 /**
- * Runs ava and gives one verdict: it fails unless every failing test is listed
- * in KNOWN-RED.txt, and prints the closing line with the counts.
+ * Runs ava, prints the result of each test and a closing line with the counts.
+ * Fails if a failing test is not listed in KNOWN-RED.txt, if no test passed, or
+ * if ava fails without a failing test.
  */
 import { spawn } from 'node:child_process'
 import { readFileSync } from 'node:fs'
@@ -15,7 +16,7 @@
 
 function readKnownRed (): KnownRed[] {
   const lines = readFileSync('KNOWN-RED.txt', 'utf8').split('\n').filter(line => line.trim() !== '' && !line.startsWith('#'))
-  if (lines.length > MAX_KNOWN_RED) throw new Error(`KNOWN-RED.txt lists ${lines.length} tests; ${MAX_KNOWN_RED} at most`)
+  if (lines.length > MAX_KNOWN_RED) throw new Error(`KNOWN-RED.txt lists ${lines.length} tests; at most ${MAX_KNOWN_RED} are allowed`)
   return lines.map(line => ({ title: line.split('|')[0]?.trim() ?? '', line }))
 }
 
--- a/tools/setup.mjs
+++ b/tools/setup.mjs
@@ -1,7 +1,7 @@
 /**
- * What `npm start` and `npm test` do first: install the locked packages when
- * they are missing, and build. Plain JavaScript, because it
- * runs before the compiler is there.
+ * First step of `npm start` and `npm test`: installs the locked packages if they
+ * are missing, and builds. Plain JavaScript, because it runs before the
+ * TypeScript compiler is installed.
  */
 import { spawnSync } from 'node:child_process'
 import { existsSync, rmSync } from 'node:fs'
@@ -12,6 +12,6 @@
 }
 
 if (!existsSync('node_modules')) run('npm', ['ci'])
-// Built afresh: output whose source is gone would still be run as a test.
+// A clean build, because ava would still run the output of test files that were deleted.
 rmSync('dist', { recursive: true, force: true })
 run('npx', ['tsc', '-p', '.'])
--- a/tools/undiciParts.cjs
+++ b/tools/undiciParts.cjs
@@ -1,9 +1,10 @@
 /**
- * The parts of undici that the programs on the users' platform use, in place of
- * all of it: what its index adds to pools, and nothing of its other clients.
- * 10 MB less resident and 0.07 s less processor time for each start of the entry
- * program (four starts each, with code cache). Tested against a server, since
- * the parts are not its public interface.
+ * Replaces undici in the bundles with the modules that the programs on the
+ * users' platform use: pools with the API methods that undici's index adds to
+ * them, without its other clients. This saves 10 MB of resident memory and 0.07 s
+ * of processor time per start of the entry program (four starts each, with code
+ * cache). These modules are not undici's public interface, so a test runs them
+ * against a server.
  */
 'use strict'
 const api = require('undici/lib/api')
--- a/tools/writeCodeCache.cjs
+++ b/tools/writeCodeCache.cjs
@@ -1,7 +1,8 @@
 /**
- * Writes the code cache of a bundle: runs the program without settings, which
- * it refuses once all its modules have run, and keeps what V8 compiled until
- * then. Has to run under the flags that the program is started with.
+ * Writes the V8 code cache of a bundle. Runs the program without settings, so
+ * that it exits with an error once all its modules are evaluated, and saves the
+ * code that V8 has compiled by then. Must run under the Node.js flags with which
+ * the deployment starts the program.
  */
 'use strict'
 const { writeFileSync } = require('node:fs')
