--- a/demo/demoRun.ts
+++ b/demo/demoRun.ts
@@ -39,7 +39,7 @@
     this._controls = this._system.startControls()
     this._entries = this._system.startEntries()
     const { leaderHostId, term } = await this._system.waitUntilReady()
-    printLine(`  the control leader is ${leaderHostId ?? 'unknown'} in term ${term}; every entry host holds its lease`)
+    printLine(`  the control leader is ${leaderHostId ?? 'nobody'} in term ${term}; every entry host holds its lease`)
     printLine('starting a weight store, two model engines, a deck service and a scoring service')
     const engines = Array.from({ length: ENGINES_COUNT }, (_value, index) => this._system.startEngine(index))
     this._standIns = [this._system.startWeightStore(), ...engines, this._system.startService(), this._system.startScoring()]
--- a/demo/waitFor.ts
+++ b/demo/waitFor.ts
@@ -9,7 +9,7 @@
   for (;;) {
     const answer = await poll()
     if (answer !== undefined && answer !== false) return answer
-    if (performance.now() > timeoutAtMs) throw new Error(`timed out after ${HANG_GUARD_MS} ms waiting for ${what}`)
+    if (performance.now() > timeoutAtMs) throw new Error(`timed out waiting for ${what} after ${HANG_GUARD_MS} ms`)
     await new Promise(resolve => setTimeout(resolve, POLL_MS))
   }
 }
--- a/src/load/answerCheck.ts
+++ b/src/load/answerCheck.ts
@@ -31,7 +31,7 @@
   const parsed = unstreamedCompletionSchema.safeParse(parseJson(text))
   if (!parsed.success) return violationOf(InvariantKind.PartialAnswer, z.prettifyError(parsed.error))
   const { id, tokens } = parsed.data
-  if (id !== planned.tag) return violationOf(InvariantKind.CrossedAnswer, `expected the answer to ${planned.tag}, got the answer to ${id}`)
+  if (id !== planned.tag) return violationOf(InvariantKind.CrossedAnswer, `got the answer to ${id} instead of ${planned.tag}`)
   return { kind: 'whole', tokensCount: tokens.length, firstByteAtMs }
 }
 
@@ -57,7 +57,7 @@
     if (this._violation) return this._violation
     if (this._isFinished && this._hasEndMark) return { kind: 'whole', tokensCount: this._tokensCount, firstByteAtMs }
     if (isDisconnected) return { kind: 'lost', reason: `stream disconnected after ${this._tokensCount} tokens` }
-    return violationOf(InvariantKind.PartialAnswer, `stream of ${this._planned.tag} ended without ${END_OF_STREAM} after ${this._tokensCount} tokens`)
+    return violationOf(InvariantKind.PartialAnswer, `stream of ${this._planned.tag} ended without the end mark after ${this._tokensCount} tokens`)
   }
 
   private _onEvent (data: string): void {
@@ -73,7 +73,7 @@
 
   private _onChunk (chunk: CompletionChunk): void {
     if (chunk.id !== this._planned.tag) {
-      this._violation = violationOf(InvariantKind.CrossedAnswer, `expected a chunk of ${this._planned.tag}, got a chunk of ${chunk.id}`)
+      this._violation = violationOf(InvariantKind.CrossedAnswer, `got a chunk of ${chunk.id} instead of ${this._planned.tag}`)
     } else if (chunk.token_offset !== this._tokensCount || this._isFinished) {
       this._violation = violationOf(InvariantKind.PartialAnswer, `chunk has token offset ${chunk.token_offset} after ${this._tokensCount} tokens`)
     }
--- a/src/load/requestRunner.ts
+++ b/src/load/requestRunner.ts
@@ -31,17 +31,17 @@
   }
 
   async run (planned: PlannedRequest, scope: Scope): Promise<RequestOutcome> {
-    const { clock, adviceCache: advice } = this._options
+    const { clock, adviceCache } = this._options
     const attempts: AttemptOutcome[] = []
     let namedHosts: string[] = []
     for (;;) {
-      const hosts = namedHosts.length > 0 ? namedHosts : await advice.hostsFor(planned.caller)
+      const hosts = namedHosts.length > 0 ? namedHosts : await adviceCache.hostsFor(planned.caller)
       const host = hosts[attempts.length % hosts.length]!
       const outcome = await this._attempt(planned, host)
       attempts.push(outcome)
       const retryAtMs = this._retryAtMs(planned, outcome, attempts.length)
       if (retryAtMs === undefined || retryAtMs >= planned.deadlineMs) break
-      if (outcome.kind === 'lost') advice.invalidate(planned.caller)
+      if (outcome.kind === 'lost') adviceCache.invalidate(planned.caller)
       namedHosts = outcome.kind === 'refused' ? outcome.refusal.otherHosts ?? [] : []
       await sleepUntil(clock, scope, retryAtMs)
     }
--- a/standins/modelEngine.ts
+++ b/standins/modelEngine.ts
@@ -72,7 +72,7 @@
       role: EngineRole.Mixed,
       swap: async apply => await this._swapWeights(apply)
     }
-    this.orders = new OrderExecutor({ clock, state: this._state, checksFencing: settings.checksFencing })
+    this.orders = new OrderExecutor({ clock, body: this._state, checksFencing: settings.checksFencing })
     this._addRoutes()
   }
 
--- a/standins/orderDesk.ts
+++ b/standins/orderDesk.ts
@@ -30,7 +30,7 @@
 
 export interface OrderExecutorOptions {
   clock: Clock
-  state: EngineState
+  body: EngineState
   checksFencing: boolean
 }
 
@@ -71,7 +71,7 @@
   }
 
   private async _execute (order: Order, deadlineMs: number): Promise<OrderOutcome> {
-    const { state, checksFencing, clock } = this._options
+    const { body: state, checksFencing, clock } = this._options
     const highest = this._highestFencingNumber ?? 0
     if (checksFencing && order.fencing_number < highest) {
       return { kind: 'reply', reply: { kind: 'stale_fence', highest_fencing_number: highest } }
@@ -85,7 +85,7 @@
   }
 
   private async _applyOrder (order: Order): Promise<OrderOutcome> {
-    const { state } = this._options
+    const { body: state } = this._options
     switch (order.kind) {
       case OrderKind.LoadVersion:
         return await this._loadVersion(order.weight_version, order.source_url)
@@ -102,7 +102,7 @@
   }
 
   private async _loadVersion (weightVersion: number, sourceUrl: string): Promise<OrderOutcome> {
-    const { state } = this._options
+    const { body: state } = this._options
     if (state.weightVersion === weightVersion) return done(state)
     const failure = await fetchWeights(sourceUrl)
     if (failure !== undefined) return failed(state, failure)
--- a/standins/versionCheck.ts
+++ b/standins/versionCheck.ts
@@ -15,7 +15,7 @@
   return samples.flatMap(sample => {
     const entries = entriesByPrompt.get(sample.prompt) ?? []
     const unconfirmed = sample.versions.filter(span => !entries.some(entry => hasGenerated(entry, sample, span)))
-    return unconfirmed.map(span => `position ${sample.position}: engine ${span.engineId} has no record of tokens ${span.fromToken} to ${span.toToken} under version ${span.weightVersion}`)
+    return unconfirmed.map(span => `position ${sample.position}: no engine record has tokens ${span.fromToken} to ${span.toToken} under version ${span.weightVersion} and engine id ${span.engineId}`)
   })
 }
 
