--- a/tools/capacity/events.ts
+++ b/tools/capacity/events.ts
@@ -43,22 +43,22 @@
   const swapSeconds = book.at('weights.poolSwapSeconds', target.engines)
   const keysSeconds = MAX_KEYS_COUNT / unrepeatablePerSecond
   const keysPerSecond = MAX_KEYS_COUNT / (UNREPEATABLE_RETENTION_MS / MS_PER_SECOND)
-  return `## Days
+  return `## Failures and restarts
 
-Pushes are notices of the leader (a removal and a registration, each to ${target.entryHosts} hosts); hellos are the calls by which
-hosts of a data centre connect again. The leader's time is \`control.changeLeaderUs\` at ${target.entryHosts} hosts.
+Pushes are notifications from the leader (a removal and a registration, each to ${target.entryHosts} hosts); hellos are the handshakes with
+which hosts reconnect to each other. The leader's time is \`control.changeLeaderUs\` at ${target.entryHosts} hosts.
 
-| what happens | hosts | pushes | hellos | leader's processor time | what callers see, by the programs' timers |
+| event | hosts | pushes | hellos | leader's processor time | effect on callers, from the programs' timers |
 | --- | --- | --- | --- | --- | --- |
-${row('6 hosts fail in a day', book, target.failedHostsPerDay, `a dead host leaves the advice after ${seconds(hostLeaseMs)}, callers that kept it step on after ${seconds(adviceValidMs)} at most; it is struck from the configuration after ${seconds(SILENCE_MS)}`)}
-${row('110 hosts are restarted in a day', book, target.restartedHostsPerDay, `each leaves the advice first and stops after ${seconds(adviceValidMs)} or its last answer`)}
-${row('a rack goes', book, assumed.rackHosts, `as six hosts, at one time; endpoints in it leave after ${seconds(endpointLeaseMs)}`)}
-${row('a data centre goes', book, Math.round(hostsPerDataCentre), `${Math.round(target.engines / target.dataCentres)} engines leave after ${seconds(endpointLeaseMs)}; if the leader was there, another leads after ${seconds(electionMinMs)} to ${seconds(electionMaxMs)} and the votes`)}
+${row('6 hosts fail in a day', book, target.failedHostsPerDay, `a failed host is no longer advised after ${seconds(hostLeaseMs)}, callers that cached the advice use other hosts after ${seconds(adviceValidMs)} at most; the host is removed from the configuration after ${seconds(SILENCE_MS)}`)}
+${row('110 hosts are restarted in a day', book, target.restartedHostsPerDay, `each is no longer advised first, and stops after ${seconds(adviceValidMs)} or its last answer`)}
+${row('a rack fails', book, assumed.rackHosts, `as for six hosts, all at once; endpoints in the rack are removed after ${seconds(endpointLeaseMs)}`)}
+${row('a data centre fails', book, Math.round(hostsPerDataCentre), `${Math.round(target.engines / target.dataCentres)} engines are removed after ${seconds(endpointLeaseMs)}; if the leader was there, a new one is elected after a time-out of ${seconds(electionMinMs)} to ${seconds(electionMaxMs)} and the votes`)}
 
-Regions apart: the side without a quorum loses its configuration leases after ${seconds(CONFIGURATION_LEASE_MS)} and refuses new work as "not run"
-until the regions meet again. At the target size that is half of the system for minutes, several times a year.
+Network partition between regions: the side without a quorum loses its configuration leases after ${seconds(CONFIGURATION_LEASE_MS)} and refuses new work as "not run"
+until the partition heals. At the target size that affects half of the system for minutes, several times a year.
 
-- New weights on ${target.engines} engines: ${swapSeconds === undefined ? 'not measured' : `${swapSeconds.toFixed(1)} s`} with a store that could just serve all in ${target.weightsEverywhereSeconds} s (\`weights.poolSwapSeconds\`).
-- Unrepeatable requests: the ledger keeps ${MAX_KEYS_COUNT.toLocaleString('en')} keys for ${UNREPEATABLE_RETENTION_MS / 3_600_000} hours, which is ${keysPerSecond.toFixed(2)} a second for good.
-  With ${(assumed.unrepeatablePart * 100).toFixed(0)}% of ${target.requestsPerSecond} requests a second it is full after ${(keysSeconds / 60).toFixed(0)} minutes; new keys are turned away then.`
+- New weights on ${target.engines} engines: ${swapSeconds === undefined ? 'not measured' : `${swapSeconds.toFixed(1)} s`} with a store whose bandwidth just suffices to serve all of them in ${target.weightsEverywhereSeconds} s (\`weights.poolSwapSeconds\`).
+- Unrepeatable requests: the ledger keeps ${MAX_KEYS_COUNT.toLocaleString('en')} keys for ${UNREPEATABLE_RETENTION_MS / 3_600_000} hours, which sustains ${keysPerSecond.toFixed(2)} a second.
+  With ${(assumed.unrepeatablePart * 100).toFixed(0)}% of ${target.requestsPerSecond} requests a second it is full after ${(keysSeconds / 60).toFixed(0)} minutes and refuses new keys from then on.`
 }
--- a/tools/capacity/rows.ts
+++ b/tools/capacity/rows.ts
@@ -10,8 +10,8 @@
   EntryWork = 'Entry host: callers, trainers, endpoints',
   ControlLeader = 'Control host that leads',
   ControlFollower = 'Control host that follows',
-  PlatformHost = 'Host on the users\' platform: knowing the fleet',
-  PlatformControl = 'Control host on the users\' platform: telling the fleet'
+  PlatformHost = 'Host on the users\' platform: fleet membership',
+  PlatformControl = 'Control host on the users\' platform: fleet updates'
 }
 
 export interface Cost {
@@ -100,7 +100,7 @@
       what: `connections and states of ${hostsPerDataCentre} hosts of its data centre`,
       cost: { corePercent: corePercent(book.at('directory.hostProcessorUs', hostsPerDataCentre)), kilobytesPerSecond: kilobytes(book.at('directory.hostBytesPerSecond', hostsPerDataCentre)) },
       slopes: ['directory.hostProcessorUs', 'directory.hostBytesPerSecond'],
-      mechanism: 'full mesh within a data centre, one relay to each other one'
+      mechanism: 'full mesh within a data centre, one relay to each other data centre'
     },
     {
       role,
@@ -111,17 +111,17 @@
     },
     {
       role,
-      what: 'announcements that it takes itself',
+      what: 'announcements that the host receives itself',
       cost: { corePercent: corePercent(multiply(book.perUnit('directory.announceUs'), announcementsPerSecond / entryHosts)) },
       slopes: ['directory.announceUs'],
       mechanism: 'each endpoint announces to 3 hosts by rendezvous hashing'
     },
     {
       role,
-      what: `the whole process, resident, with ${engines} endpoints known (${(multiply(book.at('directory.knownLiveBytes', engines), 1 / BYTES_PER_MB) ?? 0).toFixed(0)} MB of it alive)`,
+      what: `the whole process, resident, with ${engines} endpoints known (of which ${(multiply(book.at('directory.knownLiveBytes', engines), 1 / BYTES_PER_MB) ?? 0).toFixed(0)} MB are live objects)`,
       cost: { megabytes: multiply(book.at('directory.knownResidentBytes', engines), 1 / BYTES_PER_MB) },
       slopes: ['directory.knownResidentBytes', 'directory.knownLiveBytes'],
-      mechanism: 'one record an endpoint; most of it is Node with its libraries'
+      mechanism: 'one record per endpoint; most of the memory is Node.js with its libraries'
     }
   ]
 }
@@ -141,17 +141,17 @@
     },
     {
       role,
-      what: `choice among ${target.engines} endpoints, the same requests`,
+      what: `endpoint selection among ${target.engines} endpoints for the same requests`,
       cost: { corePercent: corePercent(multiply(book.at('requests.assignUs', target.engines), requests)) },
       slopes: ['requests.assignUs'],
-      mechanism: 'the choice looks at every endpoint of the pool'
+      mechanism: 'the selection examines every endpoint of the pool'
     },
     {
       role,
-      what: `${tokens.toFixed(0)} tokens a second, one a chunk`,
+      what: `${tokens.toFixed(0)} tokens a second, one per chunk`,
       cost: { corePercent: corePercent(multiply(book.perUnit('requests.tokenUs'), tokens)) },
       slopes: ['requests.tokenUs'],
-      mechanism: 'each chunk is checked, put in order and passed on'
+      mechanism: 'each chunk is checked, ordered and forwarded'
     },
     {
       role,
@@ -172,7 +172,7 @@
       what: `${entryHosts} leases, renewed every second`,
       cost: { corePercent: corePercent(book.at('control.leaderSteadyUs', entryHosts)), kilobytesPerSecond: kilobytes(book.at('control.leaderSteadyBytes', entryHosts)), megabytes: multiply(book.at('control.leaderLiveBytes', entryHosts), 1 / BYTES_PER_MB) },
       slopes: ['control.leaderSteadyUs', 'control.leaderSteadyBytes', 'control.leaderLiveBytes'],
-      mechanism: 'leases in memory of the leader, no log entry each'
+      mechanism: 'leases in the memory of the leader, without log entries'
     },
     {
       role,
@@ -186,7 +186,7 @@
       what: `${commandsPerSecond.toFixed(0)} commands a second: ${slotLeasesPerSecond.toFixed(0)} slot leases, ${(2 * samplesPerSecond).toFixed(0)} for samples, ${(assumed.commandsPerUnrepeatable * unrepeatablePerSecond).toFixed(0)} for unrepeatable requests`,
       cost: { corePercent: corePercent(multiply(book.perUnit('control.commitLeaderUs'), commandsPerSecond)), kilobytesPerSecond: kilobytes(multiply(book.perUnit('control.commitLeaderBytes'), commandsPerSecond)) },
       slopes: ['control.commitLeaderUs', 'control.commitLeaderBytes'],
-      mechanism: 'group commit: one sync for all that waits'
+      mechanism: 'group commit: one sync for all waiting commands'
     },
     {
       role,
@@ -221,14 +221,14 @@
       what: `${entryHosts} hosts, known from ${controlHostsAtMost} control hosts`,
       cost: { corePercent: corePercent(multiply(book.at('fleetHosts.hostUs', entryHosts), controls)), kilobytesPerSecond: kilobytes(multiply(book.at('fleetHosts.hostBytes', entryHosts), controls)) },
       slopes: ['fleetHosts.hostUs', 'fleetHosts.hostBytes'],
-      mechanism: 'a sign of life to each control host twice a second; hosts are told by change'
+      mechanism: 'a heartbeat to each control host twice a second; hosts are sent changes only'
     },
     {
       role,
       what: `${engines} engines with new weights every few seconds`,
       cost: { corePercent: corePercent(multiply(book.perUnit('fleetEndpoints.hostUs'), engines)), kilobytesPerSecond: kilobytes(multiply(book.perUnit('fleetEndpoints.hostBytes'), engines)) },
       slopes: ['fleetEndpoints.hostUs', 'fleetEndpoints.hostBytes'],
-      mechanism: 'an endpoint is told when it comes, moves or leaves; its weights to store hosts only'
+      mechanism: 'hosts are notified when an endpoint joins, moves or leaves; its weights are sent to store hosts only'
     }
   ]
 }
@@ -242,14 +242,14 @@
       what: `${entryHosts} hosts that follow`,
       cost: { corePercent: corePercent(book.at('fleetHosts.controlUs', entryHosts)), kilobytesPerSecond: kilobytes(book.at('fleetHosts.controlBytes', entryHosts)), megabytes: multiply(book.at('fleetHosts.controlLiveBytes', entryHosts), 1 / BYTES_PER_MB) },
       slopes: ['fleetHosts.controlUs', 'fleetHosts.controlBytes', 'fleetHosts.controlLiveBytes'],
-      mechanism: 'one session a host; a push is encoded once for all'
+      mechanism: 'one session per host; a push is encoded once for all hosts'
     },
     {
       role,
-      what: `its share of ${engines} engines, one of ${controlHostsAtMost} control hosts`,
+      what: `its share of ${engines} engines, with ${controlHostsAtMost} control hosts`,
       cost: { corePercent: corePercent(multiply(book.perUnit('fleetEndpoints.controlUs'), engines * MEASURED_CONTROLS / controlHostsAtMost)), kilobytesPerSecond: kilobytes(multiply(book.perUnit('fleetEndpoints.controlBytes'), engines * MEASURED_CONTROLS / controlHostsAtMost)) },
       slopes: ['fleetEndpoints.controlUs', 'fleetEndpoints.controlBytes'],
-      mechanism: 'each endpoint keeps to one control host'
+      mechanism: 'each endpoint stays with one control host'
     }
   ]
 }
--- a/tools/capacity/tables.ts
+++ b/tools/capacity/tables.ts
@@ -53,7 +53,7 @@
   const rows = verdicts.map(verdict => [
     verdict.what, `${format(verdict.value)} ${verdict.unit}`, `${verdict.limit} ${verdict.unit}`, verdictOf(verdict)
   ])
-  return table(['limit of an entry host', 'worked out', 'allowed', 'today\'s build'], rows)
+  return table(['limit of an entry host', 'calculated', 'allowed', 'today\'s build'], rows)
 }
 
 function verdictOf ({ value, limit, missing }: Verdict): string {
