--- a/tools/capacity/tables.ts
+++ b/tools/capacity/tables.ts
@@ -1,5 +1,5 @@
 /**
- * The capacity tables as Markdown.
+ * Renders the capacity tables as Markdown.
  */
 import { Role, type CapacityRow, type Cost } from './rows.js'
 import type { SlopeBook } from './slopeBook.js'
@@ -8,7 +8,7 @@
 export interface Verdict {
   what: string
   value: number | undefined
-  /** Slopes that it needs and that were not measured. */
+  /** Slopes that the value depends on but that were not measured. */
   missing: string[]
   limit: number
   unit: string
@@ -38,7 +38,7 @@
   return `### ${role}\n\n${table(['what', '% of a core', 'KB/s', 'MB', 'carried by', 'from'], [...cells, total])}`
 }
 
-/** The letter's limits on what control costs an entry host. */
+/** Compares the cost of control on an entry host with the required limits. */
 export function controlVerdicts (rows: readonly CapacityRow[], book: SlopeBook): Verdict[] {
   const own = rows.filter(({ role }) => role === Role.EntryControl)
   const missing = book.missing(own.flatMap(({ slopes }) => slopes))
@@ -53,7 +53,7 @@
   const rows = verdicts.map(verdict => [
     verdict.what, `${format(verdict.value)} ${verdict.unit}`, `${verdict.limit} ${verdict.unit}`, verdictOf(verdict)
   ])
-  return table(['limit of an entry host', 'worked out', 'allowed', 'today\'s build'], rows)
+  return table(['limit of an entry host', 'calculated', 'allowed', 'today\'s build'], rows)
 }
 
 function verdictOf ({ value, limit, missing }: Verdict): string {
