--- a/bench/fleetSoak/netFaults.ts
+++ b/bench/fleetSoak/netFaults.ts
@@ -1,39 +1,39 @@
 /**
- * Loaded into each program before it starts (`node --import`), so that the
- * program itself knows nothing of it: makes its outgoing connections fail as
- * links between hosts do, and its steady clock stand still as that of a suspended
- * machine does. A file says what is wrong at the moment; it is read
- * again and again. Between two programs each handles the connections that it
- * opened, so a cut holds for both directions of all of them.
+ * Fault injection that is preloaded into each program (`node --import`), so that
+ * the program itself needs no support for it. Outgoing connections fail as links
+ * between hosts do, and the monotonic clock stops as on a suspended machine. The
+ * current faults come from a file that is polled. Each program applies them to
+ * the connections that it opened, in both directions, so a partition between two
+ * programs covers all of their connections.
  */
 import { readFileSync, statSync } from 'node:fs'
 import { Socket } from 'node:net'
 
 export interface LinkFaults {
-  /** Pairs of addresses between which nothing passes; what was sent comes once the cut is over, as TCP sends again. */
+  /** Pairs of partitioned addresses; what was sent arrives after the partition, as TCP retransmits. */
   cuts: Array<[string, string]>
-  /** Sender and receiver: nothing passes this way. */
+  /** Sender and receiver; nothing passes in this direction. */
   oneWayCuts: Array<[string, string]>
-  /** Grows with each reset of the connections to an address, which ends those that are open. */
+  /** Per address; each increment resets the open connections to it. */
   resets: Record<string, number>
-  /** Grows when the open connections to an address fall silent for good; new ones work. */
+  /** Per address; each increment silences the open connections to it for good, while new ones work. */
   silences: Record<string, number>
-  /** Grows with each time that the machine of an address is back from a suspension. */
+  /** Per address; incremented whenever its machine resumes from a suspension. */
   suspensions: Record<string, number>
 }
 
 export const NO_FAULTS: LinkFaults = { cuts: [], oneWayCuts: [], resets: {}, silences: {}, suspensions: {} }
 
-/** Names the file with the faults. */
+/** Environment variable with the path of the faults file. */
 export const FAULTS_VARIABLE = 'SOAK_FAULTS_FILE'
-/** The address of the host that the program runs on. */
+/** Environment variable with the address of the host that the program runs on. */
 export const ADDRESS_VARIABLE = 'SOAK_ADDRESS'
 
 const POLL_MS = 40
-/** Suspensions are longer; the clock is looked at more often. */
-const LEAST_GAP_MS = 200
+/** Suspensions last longer, and the clock is read more often. */
+const MIN_SUSPENSION_MS = 200
 
-/** What net.Socket has and its types do not tell. */
+/** Methods of net.Socket that its types omit. */
 interface InternalSocket {
   connect: (...args: unknown[]) => Socket
   push: (chunk: unknown, encoding?: unknown) => boolean
@@ -45,9 +45,9 @@
   remoteIp: string
   resetsCount: number
   silencesCount: number
-  /** What waits for the link, in order. */
-  heldOut: Array<() => void>
-  heldIn: Array<() => void>
+  /** Operations queued while the link is blocked, in order. */
+  pendingOut: Array<() => void>
+  pendingIn: Array<() => void>
 }
 
 class FaultyLinks {
@@ -66,47 +66,47 @@
   install (): void {
     const prototype = Socket.prototype as unknown as InternalSocket
     const { connect, push, _write, _writev } = prototype
-    const open = (socket: Socket, args: unknown[]): Socket => this._open(socket, args, () => connect.apply(socket, args))
-    const out = (socket: Socket, pass: () => void): void => this._pass(socket, 'out', pass)
-    const into = (socket: Socket, pass: () => void): void => this._pass(socket, 'in', pass)
-    prototype.connect = function (this: Socket, ...args: unknown[]) { return open(this, args) }
-    prototype._write = function (this: Socket, chunk, encoding, callback) { out(this, () => _write.call(this, chunk, encoding, callback)) }
-    prototype._writev = function (this: Socket, chunks, callback) { out(this, () => _writev.call(this, chunks, callback)) }
+    const connectFaulty = (socket: Socket, args: unknown[]): Socket => this._connect(socket, args, () => connect.apply(socket, args))
+    const forwardOut = (socket: Socket, forward: () => void): void => this._forwardOrQueue(socket, 'out', forward)
+    const forwardIn = (socket: Socket, forward: () => void): void => this._forwardOrQueue(socket, 'in', forward)
+    prototype.connect = function (this: Socket, ...args: unknown[]) { return connectFaulty(this, args) }
+    prototype._write = function (this: Socket, chunk, encoding, callback) { forwardOut(this, () => _write.call(this, chunk, encoding, callback)) }
+    prototype._writev = function (this: Socket, chunks, callback) { forwardOut(this, () => _writev.call(this, chunks, callback)) }
     prototype.push = function (this: Socket, chunk, encoding) {
-      into(this, () => push.call(this, chunk, encoding))
+      forwardIn(this, () => push.call(this, chunk, encoding))
       return true
     }
     setInterval(() => this._poll(), POLL_MS).unref()
     this._poll()
   }
 
-  private _open (socket: Socket, args: unknown[], connect: () => void): Socket {
-    const remoteIp = hostOf(args)
+  private _connect (socket: Socket, args: unknown[], connect: () => void): Socket {
+    const remoteIp = loopbackHostOf(args)
     if (remoteIp === undefined || remoteIp === this._ownIp) {
       connect()
       return socket
     }
-    bindTo(args, this._ownIp)
+    bindLocalAddress(args, this._ownIp)
     const { resets, silences } = this._faults
-    this._links.set(socket, { remoteIp, resetsCount: resets[remoteIp] ?? 0, silencesCount: silences[remoteIp] ?? 0, heldOut: [], heldIn: [] })
+    this._links.set(socket, { remoteIp, resetsCount: resets[remoteIp] ?? 0, silencesCount: silences[remoteIp] ?? 0, pendingOut: [], pendingIn: [] })
     socket.once('close', () => this._links.delete(socket))
-    this._pass(socket, 'out', connect)
+    this._forwardOrQueue(socket, 'out', connect)
     return socket
   }
 
-  private _pass (socket: Socket, way: 'in' | 'out', pass: () => void): void {
+  private _forwardOrQueue (socket: Socket, direction: 'in' | 'out', forward: () => void): void {
     const link = this._links.get(socket)
-    if (!link) return pass()
-    const held = way === 'in' ? link.heldIn : link.heldOut
-    if (held.length > 0 || this._isBlocked(link, way)) held.push(pass)
-    else pass()
+    if (!link) return forward()
+    const pending = direction === 'in' ? link.pendingIn : link.pendingOut
+    if (pending.length > 0 || this._isBlocked(link, direction)) pending.push(forward)
+    else forward()
   }
 
-  private _isBlocked ({ remoteIp, silencesCount }: Link, way: 'in' | 'out'): boolean {
+  private _isBlocked ({ remoteIp, silencesCount }: Link, direction: 'in' | 'out'): boolean {
     const { cuts, oneWayCuts, silences } = this._faults
     if ((silences[remoteIp] ?? 0) > silencesCount) return true
     if (cuts.some(pair => pair.includes(remoteIp) && pair.includes(this._ownIp))) return true
-    const [from, to] = way === 'out' ? [this._ownIp, remoteIp] : [remoteIp, this._ownIp]
+    const [from, to] = direction === 'out' ? [this._ownIp, remoteIp] : [remoteIp, this._ownIp]
     return oneWayCuts.some(([sender, receiver]) => sender === from && receiver === to)
   }
 
@@ -124,36 +124,36 @@
       socket.destroy(Object.assign(new Error('read ECONNRESET'), { code: 'ECONNRESET' }))
       return
     }
-    if (!this._isBlocked(link, 'out')) release(socket, link.heldOut)
-    if (!this._isBlocked(link, 'in')) release(socket, link.heldIn)
+    if (!this._isBlocked(link, 'out')) flush(socket, link.pendingOut)
+    if (!this._isBlocked(link, 'in')) flush(socket, link.pendingIn)
   }
 }
 
-function release (socket: Socket, held: Array<() => void>): void {
-  for (const pass of held.splice(0)) if (!socket.destroyed) pass()
+function flush (socket: Socket, pending: Array<() => void>): void {
+  for (const forward of pending.splice(0)) if (!socket.destroyed) forward()
 }
 
-/** The address that a connection is opened to; undefined for what is not of a loopback host. */
-function hostOf (args: unknown[]): string | undefined {
+/** The address that a connection is opened to; undefined unless it is a loopback address. */
+function loopbackHostOf (args: unknown[]): string | undefined {
   const [first] = args
   const options = (Array.isArray(first) ? first[0] : first) as { host?: unknown } | undefined
   return typeof options?.host === 'string' && options.host.startsWith('127.') ? options.host : undefined
 }
 
-/** Whoever takes the connection is to see which host it comes from. */
-function bindTo (args: unknown[], ip: string): void {
+/** Binds the connection to the host's address, so that the peer sees which host it comes from. */
+function bindLocalAddress (args: unknown[], ip: string): void {
   const [first] = args
   const options = (Array.isArray(first) ? first[0] : first) as { localAddress?: string }
   options.localAddress = ip
 }
 
-/** A steady clock that does not count suspensions. Timers that fell due meanwhile fire at once when it is back, as they do anyway a little early or late. */
-class StandingClock {
+/** A monotonic clock that does not count suspensions. Timers that fell due during a suspension fire at once on resume; timers may always fire a little early or late. */
+class SuspendableClock {
   private readonly _file: string
   private readonly _ownIp: string
-  private readonly _steadyMs = performance.now.bind(performance)
-  private _lastMs = this._steadyMs()
-  private _missedMs = 0
+  private readonly _monotonicMs = performance.now.bind(performance)
+  private _lastMs = this._monotonicMs()
+  private _suspendedTotalMs = 0
   private _suspensionsCount = 0
 
   constructor (file: string, ownIp: string) {
@@ -167,13 +167,13 @@
   }
 
   private _nowMs (): number {
-    const steadyMs = this._steadyMs()
-    if (steadyMs - this._lastMs > LEAST_GAP_MS) this._missedMs += this._suspendedMs(steadyMs - this._lastMs)
-    this._lastMs = steadyMs
-    return steadyMs - this._missedMs
+    const monotonicMs = this._monotonicMs()
+    if (monotonicMs - this._lastMs > MIN_SUSPENSION_MS) this._suspendedTotalMs += this._suspendedMs(monotonicMs - this._lastMs)
+    this._lastMs = monotonicMs
+    return monotonicMs - this._suspendedTotalMs
   }
 
-  /** A process that was only busy, or frozen, has missed nothing. */
+  /** Returns 0 for a process that was only busy or frozen. */
   private _suspendedMs (gapMs: number): number {
     const { suspensions } = JSON.parse(readFileSync(this._file, 'utf8')) as LinkFaults
     const count = suspensions[this._ownIp] ?? 0
@@ -184,5 +184,5 @@
 }
 
 const file = process.env[FAULTS_VARIABLE]
-if (file !== undefined) new StandingClock(file, process.env[ADDRESS_VARIABLE] ?? '').install()
+if (file !== undefined) new SuspendableClock(file, process.env[ADDRESS_VARIABLE] ?? '').install()
 if (file !== undefined) new FaultyLinks(file, process.env[ADDRESS_VARIABLE] ?? '').install()
--- a/bench/fleetSoak/soakEndpoint.ts
+++ b/bench/fleetSoak/soakEndpoint.ts
@@ -1,13 +1,13 @@
 /**
- * A stand-in endpoint of the platform: a service that answers, or an engine that
- * streams the events of items under the version of its weights. It announces
- * itself to one control host as long as that answers, and notes all that
- * reaches it.
+ * A stand-in endpoint: a service that responds to requests, or an engine that
+ * streams the events of items under its current weight version. It announces
+ * itself to one control host for as long as that responds, and records all
+ * requests that reach it.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { request } from 'undici'
 import { WireHeader, WirePath } from '../../platform/wireNames.js'
-import { answerTo, DEADLY_ID, eventsCountOf, eventText, type SoakRecord } from './soakRecord.js'
+import { responseTo, POISON_ID, eventsCountOf, eventText, type SoakRecord } from './soakRecord.js'
 
 export const MODEL = 'practice-lm'
 export enum SoakService {
@@ -19,20 +19,20 @@
 export const SLOTS_COUNT = 6
 const CALL_TIMEOUT_MS = 1_000
 const RETRY_PAUSE_MS = 60
-const ANSWER_MS = 15
-/** Every fifth answer takes longer, so that some are under way whenever an endpoint ends. */
-const SLOW_ANSWER_MS = 250
-const SLOW_EACH = 5
+const RESPONSE_MS = 15
+/** Every fifth response takes longer, so that some are in flight whenever an endpoint stops. */
+const SLOW_RESPONSE_MS = 250
+const SLOW_RESPONSE_INTERVAL = 5
 const EVENT_GAP_MS = 25
-/** A deadly request ends its endpoint so long after it began to run. */
-const ENDS_AFTER_MS = 60
+/** A poison request crashes its endpoint this long after it started to run. */
+const CRASH_AFTER_MS = 60
 const LOAD_MS = 250
-/** An endpoint serves on a little longer than it has to. */
+/** Somewhat longer than an endpoint has to keep serving. */
 const LINGER_MS = 4_000
-/** No confirmation comes: it ends all the same. */
-const LEAVE_PATIENCE_MS = 5_000
+/** The endpoint stops after this time even without a confirmation. */
+const DEREGISTER_TIMEOUT_MS = 5_000
 
-export interface SoakEndpointParts {
+export interface SoakEndpointOptions {
   name: string
   service: SoakService
   ip: string
@@ -41,78 +41,78 @@
   record: SoakRecord
   nowMs: () => number
   controlAddresses: () => string[]
-  /** Told when a request ends it. */
-  onDeadly: (endpoint: SoakEndpoint, callerId: string) => void
+  /** Called when a request is to crash the endpoint. */
+  onPoisonRequest: (endpoint: SoakEndpoint, callerId: string) => void
 }
 
 export class SoakEndpoint {
-  readonly parts: SoakEndpointParts
+  readonly options: SoakEndpointOptions
   private readonly _server: Server
   private _version = 1
   private _isLoading = false
   private _runningCount = 0
   private _ordersCount = 0
-  private _answersCount = 0
+  private _responsesCount = 0
   private _highestFence = 0
   private _sequence = 0
-  private _homeNumber: number
+  private _controlHostIndex: number
   private _isLeaving = false
-  private _isOver = false
+  private _isStopped = false
 
-  /** @param homeNumber which of the control hosts it announces itself to first */
-  constructor (parts: SoakEndpointParts, homeNumber: number) {
-    this.parts = parts
-    this._homeNumber = homeNumber
-    this._server = createServer({ noDelay: true }, (incoming, response) => this._answer(incoming, response))
+  /** @param controlHostIndex index of the control host that it announces itself to first */
+  constructor (options: SoakEndpointOptions, controlHostIndex: number) {
+    this.options = options
+    this._controlHostIndex = controlHostIndex
+    this._server = createServer({ noDelay: true }, (incoming, response) => this._handle(incoming, response))
   }
 
   async start (): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this._server.once('error', reject)
-      this._server.listen(this.parts.port, this.parts.ip, resolve)
+      this._server.listen(this.options.port, this.options.ip, resolve)
     })
-    this._beat().catch(error => { throw error })
+    this._sendHeartbeats().catch(error => { throw error })
   }
 
-  /** The control host that it keeps to. */
-  get homeAddress (): string {
-    const addresses = this.parts.controlAddresses()
-    return addresses[this._homeNumber % addresses.length] ?? ''
+  /** The control host that it currently announces itself to. */
+  get controlAddress (): string {
+    const addresses = this.options.controlAddresses()
+    return addresses[this._controlHostIndex % addresses.length] ?? ''
   }
 
-  get isOver (): boolean {
-    return this._isOver
+  get isStopped (): boolean {
+    return this._isStopped
   }
 
-  /** Ends without a word. */
+  /** Stops without notifying anybody. */
   crash (): void {
-    this._isOver = true
+    this._isStopped = true
     this._server.close()
     this._server.closeAllConnections()
   }
 
-  /** Says that it drains, serves on, takes its leave and ends. */
+  /** Announces that it drains, keeps serving for a while, deregisters and stops. */
   async drain (): Promise<void> {
     this._isLeaving = true
-    await this._confirmed(() => this._announce('draining'))
+    await this._retryUntilConfirmed(() => this._announce('draining'))
     await pause(LINGER_MS)
-    await this._confirmed(async () => await this._call('deregister', ''))
+    await this._retryUntilConfirmed(async () => await this._call('deregister', ''))
     this.crash()
   }
 
-  /** Takes its leave without having said that it drains. */
-  async leave (): Promise<void> {
+  /** Deregisters without draining first. */
+  async deregister (): Promise<void> {
     this._isLeaving = true
-    await this._confirmed(async () => await this._call('deregister', ''))
+    await this._retryUntilConfirmed(async () => await this._call('deregister', ''))
     await pause(LINGER_MS)
     this.crash()
   }
 
-  private async _confirmed (tell: () => Promise<boolean>): Promise<void> {
-    const givesUpAtMs = this.parts.nowMs() + LEAVE_PATIENCE_MS
-    while (!this._isOver && this.parts.nowMs() < givesUpAtMs) {
-      if (await tell()) {
-        const { record, name, nowMs } = this.parts
+  private async _retryUntilConfirmed (send: () => Promise<boolean>): Promise<void> {
+    const deadlineMs = this.options.nowMs() + DEREGISTER_TIMEOUT_MS
+    while (!this._isStopped && this.options.nowMs() < deadlineMs) {
+      if (await send()) {
+        const { record, name, nowMs } = this.options
         if (!record.leaves.some(({ endpointName }) => endpointName === name)) record.leaves.push({ endpointName: name, confirmedAtMs: nowMs() })
         return
       }
@@ -120,40 +120,40 @@
     }
   }
 
-  private async _beat (): Promise<void> {
-    while (!this._isOver && !this._isLeaving) {
-      const isTaken = await this._announce('ready')
-      await pause(isTaken ? HEARTBEAT_MS : RETRY_PAUSE_MS)
+  private async _sendHeartbeats (): Promise<void> {
+    while (!this._isStopped && !this._isLeaving) {
+      const isAccepted = await this._announce('ready')
+      await pause(isAccepted ? HEARTBEAT_MS : RETRY_PAUSE_MS)
     }
   }
 
   private async _announce (state: string): Promise<boolean> {
-    const { service, ip, port, dataCentre } = this.parts
+    const { service, ip, port, dataCentre } = this.options
     const models = service === SoakService.Engines ? [{ name: MODEL, version: this._version }] : []
     return await this._call('heartbeat', JSON.stringify({ service, address: `${ip}:${port}`, zone: dataCentre, version: 'v1', slots: SLOTS_COUNT, state, 'cold-left-ms': 0, models, seq: ++this._sequence }))
   }
 
-  /** Turns to the next control host when this one does not take the call. */
+  /** Moves on to the next control host when this one does not accept the call. */
   private async _call (verb: string, body: string): Promise<boolean> {
-    const address = this.homeAddress
+    const address = this.controlAddress
     try {
-      const answer = await request(`http://${address}${WirePath.Endpoints}${this.parts.name}/${verb}`, { method: 'POST', body, signal: AbortSignal.timeout(CALL_TIMEOUT_MS) })
-      await answer.body.dump()
-      if (answer.statusCode === 200) return true
+      const response = await request(`http://${address}${WirePath.Endpoints}${this.options.name}/${verb}`, { method: 'POST', body, signal: AbortSignal.timeout(CALL_TIMEOUT_MS) })
+      await response.body.dump()
+      if (response.statusCode === 200) return true
     } catch {
-      // A control host that is down or does not answer: the next one is asked.
+      // The control host is down or does not respond: the next one is tried.
     }
-    this._homeNumber++
+    this._controlHostIndex++
     return false
   }
 
-  private _answer (incoming: IncomingMessage, response: ServerResponse): void {
+  private _handle (incoming: IncomingMessage, response: ServerResponse): void {
     response.on('error', () => {})
     readText(incoming).then(body => this._serve(incoming, response, body), () => response.destroy())
   }
 
   private _serve (incoming: IncomingMessage, response: ServerResponse, body: string): void {
-    if (this._isOver) {
+    if (this._isStopped) {
       response.destroy()
       return
     }
@@ -162,37 +162,37 @@
     const attemptId = String(incoming.headers[WireHeader.AttemptId])
     const refusedStatus = this._refusalOf(incoming)
     if (refusedStatus !== undefined) return this._refuse(incoming, response, refusedStatus)
-    this._note(incoming, true)
+    this._recordArrival(incoming, true)
     this._runningCount++
     response.once('close', () => { this._runningCount-- })
-    if (this._endsUnder(attemptId)) return
-    if (this.parts.service === SoakService.Engines) return this._stream(response, attemptId, Number(incoming.headers[WireHeader.LastEventId] ?? 0))
-    const answerMs = this._answersCount++ % SLOW_EACH === 0 ? SLOW_ANSWER_MS : ANSWER_MS
-    setTimeout(() => response.writeHead(200, this._heads(attemptId)).end(answerTo(attemptId)), answerMs)
+    if (this._crashesUnder(attemptId)) return
+    if (this.options.service === SoakService.Engines) return this._stream(response, attemptId, Number(incoming.headers[WireHeader.LastEventId] ?? 0))
+    const responseMs = this._responsesCount++ % SLOW_RESPONSE_INTERVAL === 0 ? SLOW_RESPONSE_MS : RESPONSE_MS
+    setTimeout(() => response.writeHead(200, this._responseHeaders(attemptId)).end(responseTo(attemptId)), responseMs)
   }
 
-  /** Undefined for what it runs. */
+  /** The status that a request is refused with; undefined if it runs. */
   private _refusalOf ({ headers }: IncomingMessage): number | undefined {
-    const isMine = (headers[WireHeader.ExpectEndpoint] ?? this.parts.name) === this.parts.name
-    if (!isMine) return 421
+    const isExpected = (headers[WireHeader.ExpectEndpoint] ?? this.options.name) === this.options.name
+    if (!isExpected) return 421
     return this._runningCount >= SLOTS_COUNT || this._isLoading ? 503 : undefined
   }
 
-  private _endsUnder (attemptId: string): boolean {
-    const callerId = DEADLY_ID.exec(attemptId)?.[1]
+  private _crashesUnder (attemptId: string): boolean {
+    const callerId = POISON_ID.exec(attemptId)?.[1]
     if (callerId === undefined) return false
-    setTimeout(() => { if (!this._isOver) this.parts.onDeadly(this, callerId) }, ENDS_AFTER_MS)
+    setTimeout(() => { if (!this._isStopped) this.options.onPoisonRequest(this, callerId) }, CRASH_AFTER_MS)
     return true
   }
 
   private _refuse (incoming: IncomingMessage, response: ServerResponse, status: number): void {
-    if (status !== 421) this._note(incoming, false)
+    if (status !== 421) this._recordArrival(incoming, false)
     response.writeHead(status, { [WireHeader.AttemptId]: String(incoming.headers[WireHeader.AttemptId]), [WireHeader.NotExecuted]: '1' }).end()
   }
 
   private _stream (response: ServerResponse, itemId: string, afterEventId: number): void {
     const version = this._version
-    response.writeHead(200, { ...this._heads(itemId), [WireHeader.WeightVersion]: String(version), 'content-type': 'text/event-stream' })
+    response.writeHead(200, { ...this._responseHeaders(itemId), [WireHeader.WeightVersion]: String(version), 'content-type': 'text/event-stream' })
     let eventId = afterEventId
     const timer = setInterval(() => {
       if (++eventId <= eventsCountOf(itemId)) response.write(`id: ${eventId}\ndata: ${eventText(itemId, eventId, version)}\n\n`)
@@ -203,8 +203,8 @@
     response.once('close', () => clearInterval(timer))
   }
 
-  private _heads (attemptId: string): Record<string, string> {
-    return { [WireHeader.AttemptId]: attemptId, [WireHeader.Receipt]: `stamp.${this.parts.name}.${attemptId}` }
+  private _responseHeaders (attemptId: string): Record<string, string> {
+    return { [WireHeader.AttemptId]: attemptId, [WireHeader.Receipt]: `stamp.${this.options.name}.${attemptId}` }
   }
 
   private _report (response: ServerResponse): void {
@@ -212,7 +212,7 @@
     sendJson(response, 200, { stage: 'hybrid', models, busy: this._isLoading, seq: this._ordersCount, waiting: 0, running: this._runningCount })
   }
 
-  /** Loads a version once what runs has ended, as engines that cannot change under a run do. */
+  /** Loads a version once all runs have ended, as engines that cannot swap weights during a run do. */
   private _order (response: ServerResponse, body: string): void {
     const order = JSON.parse(body) as { version: number, 'fencing-token': number, 'expected-rev': number }
     if (order['fencing-token'] < this._highestFence) return sendJson(response, 412, {})
@@ -235,8 +235,8 @@
     sendJson(response, 202, {})
   }
 
-  private _note ({ headers, socket }: IncomingMessage, isRun: boolean): void {
-    const { record, name, nowMs } = this.parts
+  private _recordArrival ({ headers, socket }: IncomingMessage, isRun: boolean): void {
+    const { record, name, nowMs } = this.options
     record.arrivals.push({ attemptId: String(headers[WireHeader.AttemptId]), endpointName: name, fromIp: socket.remoteAddress ?? '', atMs: nowMs(), isRun })
   }
 }
--- a/bench/fleetSoak/soakFleet.ts
+++ b/bench/fleetSoak/soakFleet.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's programs as processes on loopback addresses, one address for
- * each host, and all that can befall them from outside: signals, links, disks.
+ * Runs the platform's programs as processes on loopback addresses, one address
+ * per host, and injects external faults: signals, link faults, lost disks.
  */
 import { mkdirSync, mkdtempSync, renameSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -17,7 +17,7 @@
 
 const DIST = join(dirname(fileURLToPath(import.meta.url)), '../..')
 const DATA_CENTRES = ['north', 'south', 'east']
-/** Hosts that a block of addresses has room for. */
+/** Number of hosts per block of addresses. */
 const HOSTS_PER_BLOCK = 14
 const GRACE_S = 5
 const MEMORY_MB = 300
@@ -66,11 +66,11 @@
 export class SoakFleet {
   readonly folder = mkdtempSync(join(tmpdir(), 'threaddrum-soak-'))
   readonly hosts: SoakHost[] = []
-  /** Programs that ended without being told to. */
-  readonly ownEnds: string[] = []
+  /** Programs that exited without having been stopped. */
+  readonly unexpectedExits: string[] = []
   private readonly _blocks: AddressBlock[]
   private readonly _processes: ProcessGroup
-  private readonly _told = new Set<ManagedProcess>()
+  private readonly _stopped = new Set<ManagedProcess>()
   private _faults: LinkFaults = structuredClone(NO_FAULTS)
   private _usedIpsCount = 0
 
@@ -80,7 +80,7 @@
     this._writeFaults()
   }
 
-  /** @param endpointsCount addresses that endpoints will take, one each */
+  /** @param endpointsCount number of addresses reserved for endpoints */
   static async create (counts: HostCounts, endpointsCount: number): Promise<SoakFleet> {
     const hostsCount = Object.values(counts).reduce((sum: number, count: number) => sum + count, 0)
     const blocks: AddressBlock[] = []
@@ -88,37 +88,37 @@
     const fleet = new SoakFleet(blocks)
     for (const group of Object.values(HostGroup)) {
       for (let number = 0; number < counts[group]; number++) {
-        fleet.hosts.push(new SoakHost(`${group}-${number + 1}`, fleet.takeIp(), group, DATA_CENTRES[number % DATA_CENTRES.length] ?? ''))
+        fleet.hosts.push(new SoakHost(`${group}-${number + 1}`, fleet.allocateIp(), group, DATA_CENTRES[number % DATA_CENTRES.length] ?? ''))
       }
     }
     return fleet
   }
 
-  takeIp (): string {
+  allocateIp (): string {
     const number = this._usedIpsCount++
     const block = this._blocks[Math.floor(number / HOSTS_PER_BLOCK)]
-    if (!block) throw new Error(`no address is left after ${number}`)
+    if (!block) throw new Error(`no loopback address left: all ${number} are allocated`)
     return block.ip(1 + number % HOSTS_PER_BLOCK)
   }
 
-  of (group: HostGroup): SoakHost[] {
+  hostsOf (group: HostGroup): SoakHost[] {
     return this.hosts.filter(host => host.group === group)
   }
 
   get controlAddresses (): string[] {
-    return this.of(HostGroup.Control).map(({ ip }) => `${ip}:${Port.Control}`)
+    return this.hostsOf(HostGroup.Control).map(({ ip }) => `${ip}:${Port.Control}`)
   }
 
-  /** Hosts that callers may reach. */
+  /** Addresses that callers may use. */
   get callerAddresses (): string[] {
-    return [...this.of(HostGroup.Control), ...this.of(HostGroup.Entry)].map(({ ip }) => `${ip}:${Port.Callers}`)
+    return [...this.hostsOf(HostGroup.Control), ...this.hostsOf(HostGroup.Entry)].map(({ ip }) => `${ip}:${Port.Callers}`)
   }
 
   startAll (): void {
     for (const host of this.hosts) this.start(host)
   }
 
-  /** A host that another fault has brought back meanwhile runs already: its ports are taken. */
+  /** Does nothing for a host that another fault has already restarted, as its ports are in use. */
   start (host: SoakHost): void {
     if (host.running.some(({ end }) => end === undefined)) return
     const settingsFile = this._writeSettings(host)
@@ -127,13 +127,13 @@
   }
 
   async kill (host: SoakHost): Promise<void> {
-    await this._end(host, 'SIGKILL')
+    await this._terminate(host, 'SIGKILL')
   }
 
-  /** A planned stop; killed when the time for it is over. */
+  /** Stops gracefully; kills the programs after the grace period. */
   async stop (host: SoakHost): Promise<void> {
     const killing = setTimeout(() => this._signal(host, 'SIGKILL'), GRACE_S * 1_000)
-    await this._end(host, 'SIGTERM')
+    await this._terminate(host, 'SIGTERM')
     clearTimeout(killing)
   }
 
@@ -145,26 +145,26 @@
     this._signal(host, 'SIGCONT')
   }
 
-  /** Back from a suspension: the steady clock of its programs has not counted the time since they were frozen. */
+  /** Ends a suspension: the monotonic clock of the programs has not counted the time since they were frozen. */
   resume (host: SoakHost): void {
     this._faults.suspensions[host.ip] = (this._faults.suspensions[host.ip] ?? 0) + 1
     this._writeFaults()
     this.thaw(host)
   }
 
-  /** Only while its programs are down. */
+  /** Deletes the data; only while the programs of the host are down. */
   wipe (host: SoakHost): void {
     rmSync(this._dataFolder(host), { recursive: true, force: true })
   }
 
-  /** Cuts a host off from all others, until it is healed. */
-  cutOff (host: SoakHost): void {
+  /** Partitions a host from all others, until `heal` is called. */
+  isolate (host: SoakHost): void {
     for (const other of this.hosts) if (other !== host) this._faults.cuts.push([host.ip, other.ip])
     this._writeFaults()
   }
 
-  /** What the host sends to the others gets lost; what they send it does not. */
-  cutOffOneWay (host: SoakHost): void {
+  /** Blocks what the host sends to the others, but not what they send to it. */
+  isolateOneWay (host: SoakHost): void {
     for (const other of this.hosts) if (other !== host) this._faults.oneWayCuts.push([host.ip, other.ip])
     this._writeFaults()
   }
@@ -185,17 +185,17 @@
     this._writeFaults()
   }
 
-  /** Ends everything; the folder goes too, unless its logs are wanted. */
+  /** Terminates all programs and deletes the folder, unless its logs are to be kept. */
   async close (keepsLogs: boolean): Promise<void> {
-    for (const { running } of this.hosts) for (const process of running) this._told.add(process)
+    for (const { running } of this.hosts) for (const process of running) this._stopped.add(process)
     await this._processes.killAll()
     for (const block of this._blocks) block.release()
     if (!keepsLogs) rmSync(this.folder, { recursive: true, force: true })
   }
 
-  private async _end (host: SoakHost, signal: NodeJS.Signals): Promise<void> {
+  private async _terminate (host: SoakHost, signal: NodeJS.Signals): Promise<void> {
     const { running } = host
-    for (const process of running) this._told.add(process)
+    for (const process of running) this._stopped.add(process)
     this._signal(host, signal)
     await Promise.all(running.map(async ({ ended }) => await ended))
   }
@@ -212,7 +212,7 @@
       [ADDRESS_VARIABLE]: host.ip
     })
     process.ended.then(({ code, signal }) => {
-      if (!this._told.has(process)) this.ownEnds.push(`${process.name} with ${code ?? signal}`)
+      if (!this._stopped.has(process)) this.unexpectedExits.push(`${process.name} with ${code ?? signal}`)
     }, () => {})
     return process
   }
@@ -244,10 +244,10 @@
     return join(this.folder, 'faults.json')
   }
 
-  /** Whoever reads it sees the old faults or the new ones, never half of them. */
+  /** Replaces the file atomically, so that readers never see part of it. */
   private _writeFaults (): void {
-    const next = `${this._faultsFile}.next`
-    writeFileSync(next, JSON.stringify(this._faults))
-    renameSync(next, this._faultsFile)
+    const newFile = `${this._faultsFile}.next`
+    writeFileSync(newFile, JSON.stringify(this._faults))
+    renameSync(newFile, this._faultsFile)
   }
 }
--- a/bench/fleetSoak/soakRecord.ts
+++ b/bench/fleetSoak/soakRecord.ts
@@ -1,25 +1,25 @@
 /**
- * What a run of the fleet's soak has seen, from the sides of callers, trainers,
- * operators and endpoints. Times are milliseconds since the run began.
+ * The observations of one fleet soak run by callers, trainers, operators and
+ * endpoints. Times are milliseconds since the start of the run.
  */
 
-/** A request or item that reached an endpoint. */
+/** A request or item that arrived at an endpoint. */
 export interface Arrival {
   attemptId: string
   endpointName: string
   /** The address of the host that sent it. */
   fromIp: string
   atMs: number
-  /** False for what the endpoint refused and did not run. */
+  /** False if the endpoint refused it and did not run it. */
   isRun: boolean
 }
 
-/** Requests that end endpoints have ids that begin so, with the number of the caller and of its try. */
-export const DEADLY_ID = /^(deadly-\d+)-\d+$/
+/** Attempt ids of poison requests, which crash endpoints: the caller's id, then the number of the attempt. */
+export const POISON_ID = /^(deadly-\d+)-\d+$/
 
-/** An endpoint ended under a request. */
-export interface EndSeen {
-  /** Which of the callers that repeat such a request. */
+/** An endpoint that crashed while it ran a poison request. */
+export interface ObservedCrash {
+  /** The caller that repeats the request. */
   callerId: string
   endpointName: string
   atMs: number
@@ -30,60 +30,60 @@
   AtMostOnce = 'atMostOnce'
 }
 
-export interface CallSeen {
+export interface ObservedCall {
   attemptId: string
   kind: CallKind
   sentAtMs: number
-  /** Undefined when no whole answer came. */
+  /** Undefined when no complete response arrived. */
   status: number | undefined
   body: string
   hasReceipt: boolean
 }
 
-export interface ItemSeen {
+export interface ObservedItem {
   itemId: string
   state: string
   text: string
   versions: number[]
 }
 
-export interface BatchSeen {
+export interface ObservedBatch {
   batchId: string
   itemIds: string[]
   minVersion: number
   acceptedAtMs: number | undefined
-  /** Its trainer ended it before all was listed: what is not listed by then need not be. */
+  /** Whether the trainer ended it before all items were listed; the others need not be listed any more. */
   isEndedEarly: boolean
-  /** What each position was when it was first read. */
-  firstRead: ItemSeen[]
-  /** All positions at the end; undefined when they could not be read. */
-  atEnd: ItemSeen[] | undefined
+  /** The result at each position when it was first read. */
+  firstRead: ObservedItem[]
+  /** All results at the end of the run; undefined when they could not be read. */
+  atEnd: ObservedItem[] | undefined
 }
 
-export interface LeaveSeen {
+export interface ObservedDeregistration {
   endpointName: string
   confirmedAtMs: number
 }
 
-export interface ConfigurationSeen {
+export interface ObservedConfiguration {
   version: number
   confirmedAtMs: number
 }
 
-/** A request on the route that came with a version of the configuration. */
+/** A request on the route that a version of the configuration adds. */
 export interface RouteProbe {
   version: number
   sentAtMs: number
   status: number | undefined
 }
 
-/** A fault, with the time that it takes until whatever it hit is back. */
+/** A fault, from its start until what it hit has recovered. */
 export interface Disturbance {
   kind: string
   target: string
-  /** Of the hosts that it hit; none for endpoints. */
+  /** Addresses of the hosts that it hit; empty for endpoints. */
   targetIps: string[]
-  /** Whether a control host was hit: the leader may have been. */
+  /** Whether a control host, and so possibly the leader, was hit. */
   hitsControl: boolean
   fromMs: number
   untilMs: number
@@ -91,16 +91,16 @@
 
 export interface SoakRecord {
   arrivals: Arrival[]
-  calls: CallSeen[]
-  batches: BatchSeen[]
-  leaves: LeaveSeen[]
-  ends: EndSeen[]
-  configurations: ConfigurationSeen[]
+  calls: ObservedCall[]
+  batches: ObservedBatch[]
+  leaves: ObservedDeregistration[]
+  ends: ObservedCrash[]
+  configurations: ObservedConfiguration[]
   probes: RouteProbe[]
-  /** The version that was read back at the end, of any host that answered. */
+  /** The version that was read back at the end, from any host that responded. */
   readBackVersion: number | undefined
   disturbances: Disturbance[]
-  /** Programs that ended without being told to. */
+  /** Programs that exited without having been stopped. */
   ownEnds: string[]
 }
 
@@ -108,12 +108,12 @@
   return { arrivals: [], calls: [], batches: [], leaves: [], ends: [], configurations: [], probes: [], readBackVersion: undefined, disturbances: [], ownEnds: [] }
 }
 
-/** What the endpoint answers to a request: nobody else's. */
-export function answerTo (attemptId: string): string {
+/** The response body of an endpoint, unique to the request. */
+export function responseTo (attemptId: string): string {
   return `answer to ${attemptId}`
 }
 
-/** Events of an item: few, most of them, with a tail; always the same for the item. */
+/** Number of events of an item: 3 to 14, with 20 more for one item in ten; deterministic for each item. */
 export function eventsCountOf (itemId: string): number {
   let hash = 2_166_136_261
   for (const letter of itemId) hash = Math.imul(hash ^ letter.charCodeAt(0), 16_777_619) >>> 0
--- a/bench/fleetSoak/soakRun.ts
+++ b/bench/fleetSoak/soakRun.ts
@@ -1,11 +1,11 @@
 /**
- * One run of the fleet's soak: brings the programs up, lets callers, a trainer,
- * an operator and endpoints work, carries out the planned faults, waits until
- * everything has settled, and reads back all that was accepted.
+ * One fleet soak run: starts the programs, runs callers, a trainer, an operator
+ * and endpoints, injects the planned faults, waits until everything has settled,
+ * and reads back all accepted work.
  */
 import { waitFor } from '../../demo/waitFor.js'
 import { seededRandom, type RandomSource } from '../../src/utils/randomSource.js'
-import { FaultKind, HostGroup, isOfHost, planFaults, QUIET_AFTER_MS, type HostCounts, type PlannedFault } from './faultPlan.js'
+import { FaultKind, HostGroup, isHostFault, planFaults, QUIET_AFTER_MS, type HostCounts, type PlannedFault } from './faultPlan.js'
 import { SoakCallers } from './soakCallers.js'
 import { findViolations } from './soakChecks.js'
 import { pause, SoakEndpoint, SoakService } from './soakEndpoint.js'
@@ -25,27 +25,27 @@
   planned: PlannedFault[]
   record: SoakRecord
   violations: string[]
-  /** Where the programs' logs are; undefined when they were not kept. */
+  /** Folder with the programs' logs; undefined when they were not kept. */
   logsFolder: string | undefined
 }
 
 const SERVICES_COUNT = 3
 const ENGINES_COUNT = 3
-/** Endpoints that come in the place of others, each at a port of its own; beyond that none is replaced. */
+/** Maximum number of replacement endpoints, each on its own port; further ones are not started. */
 const MAX_REPLACEMENTS_COUNT = 40
 const FIRST_ENDPOINT_PORT = 8_100
-/** A host that comes back needs so long until its connections are made and its log is caught up. */
+/** Time that a restarted host needs to connect and to catch up with the log. */
 const START_MS = 2_500
-/** An endpoint that ended under a request is back, under a new name at its address, after this. */
-const REBORN_AFTER_MS = 1_500
-/** Programs hear of a cut within 40 ms. */
-const LEAVE_AFTER_CUT_MS = 200
+/** Delay before an endpoint that a request crashed is replaced, under a new name at the same address. */
+const REPLACE_CRASHED_AFTER_MS = 1_500
+/** Programs apply a partition within 40 ms, the polling interval of the faults file. */
+const DEREGISTER_AFTER_ISOLATION_MS = 200
 
 export async function runSoak (options: SoakOptions): Promise<SoakOutcome> {
   const fleet = await SoakFleet.create(options.hosts, 1)
   const run = new SoakRun(options, fleet)
   try {
-    const record = await run.play()
+    const record = await run.run()
     return { seed: options.seed, planned: run.planned, record, violations: findViolations(record), logsFolder: options.keepsLogs === true ? fleet.folder : undefined }
   } finally {
     await fleet.close(options.keepsLogs === true)
@@ -63,15 +63,15 @@
   private readonly _callers: SoakCallers
   private readonly _endpointIp: string
   private _endpointsCount = 0
-  private _deadlyCallersCount = 0
-  private readonly _underWay: Array<Promise<void>> = []
+  private _poisonCallersCount = 0
+  private readonly _pendingTasks: Array<Promise<void>> = []
 
   constructor (options: SoakOptions, fleet: SoakFleet) {
     this._options = options
     this._fleet = fleet
     this._random = seededRandom(options.seed)
     this.planned = planFaults(options)
-    this._endpointIp = fleet.takeIp()
+    this._endpointIp = fleet.allocateIp()
     this._callers = new SoakCallers({
       random: seededRandom(options.seed + 1),
       record: this._record,
@@ -81,25 +81,25 @@
     })
   }
 
-  async play (): Promise<SoakRecord> {
-    await this._bringUp()
-    const beganAtMs = this._nowMs()
-    const working = this._callers.run()
+  async run (): Promise<SoakRecord> {
+    await this._startUp()
+    const startedAtMs = this._nowMs()
+    const callersDone = this._callers.run()
     for (const fault of this.planned) {
-      await pause(beganAtMs + fault.atMs - this._nowMs())
-      this._underWay.push(this._carryOut(fault))
+      await pause(startedAtMs + fault.atMs - this._nowMs())
+      this._pendingTasks.push(this._inject(fault))
     }
-    for (const task of this._underWay) await task
-    await pause(Math.max(QUIET_AFTER_MS, beganAtMs + this._options.durationMs - this._nowMs()))
+    for (const task of this._pendingTasks) await task
+    await pause(Math.max(QUIET_AFTER_MS, startedAtMs + this._options.durationMs - this._nowMs()))
     this._callers.finish()
-    await working
+    await callersDone
     await this._callers.readAll()
-    for (const endpoint of this._endpoints) if (!endpoint.isOver) endpoint.crash()
-    this._record.ownEnds.push(...this._fleet.ownEnds)
+    for (const endpoint of this._endpoints) if (!endpoint.isStopped) endpoint.crash()
+    this._record.ownEnds.push(...this._fleet.unexpectedExits)
     return this._record
   }
 
-  private async _bringUp (): Promise<void> {
+  private async _startUp (): Promise<void> {
     this._fleet.startAll()
     for (let number = 0; number < SERVICES_COUNT; number++) await this._addEndpoint(SoakService.Decks)
     for (let number = 0; number < ENGINES_COUNT; number++) await this._addEndpoint(SoakService.Engines)
@@ -126,38 +126,38 @@
       record: this._record,
       nowMs: () => this._nowMs(),
       controlAddresses: () => this._fleet.controlAddresses,
-      onDeadly: (ended, callerId) => this._endUnder(ended, callerId)
+      onPoisonRequest: (crashed, callerId) => this._crashUnder(crashed, callerId)
     }, this._random.int(0, this._options.hosts.control - 1))
     await endpoint.start()
     this._endpoints.push(endpoint)
   }
 
-  /** It ends at once, and is back after a while under a new name at its address. */
-  private _endUnder (endpoint: SoakEndpoint, callerId: string): void {
-    const { name, service, port } = endpoint.parts
+  /** Crashes the endpoint at once, and later replaces it under a new name at the same address. */
+  private _crashUnder (endpoint: SoakEndpoint, callerId: string): void {
+    const { name, service, port } = endpoint.options
     this._record.ends.push({ callerId, endpointName: name, atMs: this._nowMs() })
     endpoint.crash()
-    this._underWay.push((async () => {
-      await pause(REBORN_AFTER_MS)
+    this._pendingTasks.push((async () => {
+      await pause(REPLACE_CRASHED_AFTER_MS)
       await this._startEndpoint(service, this._endpointsCount++, port)
     })())
   }
 
-  private async _carryOut (fault: PlannedFault): Promise<void> {
+  private async _inject (fault: PlannedFault): Promise<void> {
     const fromMs = this._nowMs()
-    if (!isOfHost(fault.kind)) return await this._workOnEndpoints(fault)
-    const isOfAll = fault.kind === FaultKind.PowerLoss
-    const hosts = isOfAll ? this._fleet.hosts : this._fleet.of(fault.group).slice(fault.number, fault.number + 1)
+    if (!isHostFault(fault.kind)) return await this._disturbEndpoint(fault)
+    const hitsAllHosts = fault.kind === FaultKind.PowerLoss
+    const hosts = hitsAllHosts ? this._fleet.hosts : this._fleet.hostsOf(fault.group).slice(fault.number, fault.number + 1)
     const disturbance: Disturbance = {
       kind: fault.kind,
-      target: isOfAll ? 'all hosts' : hosts.map(({ name }) => name).join(),
+      target: hitsAllHosts ? 'all hosts' : hosts.map(({ name }) => name).join(),
       targetIps: hosts.map(({ ip }) => ip),
       hitsControl: hosts.some(({ group }) => group === HostGroup.Control),
       fromMs,
       untilMs: Number.POSITIVE_INFINITY
     }
     this._record.disturbances.push(disturbance)
-    await (isOfAll ? this._losePower(fault.forMs) : Promise.all(hosts.map(async host => await this._disturb(host, fault))))
+    await (hitsAllHosts ? this._losePower(fault.forMs) : Promise.all(hosts.map(async host => await this._disturb(host, fault))))
     disturbance.untilMs = this._nowMs()
   }
 
@@ -174,15 +174,15 @@
           fleet.wipe(host)
         }, forMs)
       case FaultKind.Freeze:
-        return await this._whileIn(() => fleet.freeze(host), forMs, () => fleet.thaw(host))
+        return await this._holdFault(() => fleet.freeze(host), forMs, () => fleet.thaw(host))
       case FaultKind.Suspend:
-        return await this._whileIn(() => fleet.freeze(host), forMs, () => fleet.resume(host))
-      case FaultKind.Cut:
-        return await this._whileIn(() => fleet.cutOff(host), forMs, () => fleet.heal(host))
-      case FaultKind.CutOneWay:
-        return await this._whileIn(() => fleet.cutOffOneWay(host), forMs, () => fleet.heal(host))
-      case FaultKind.LeaveAtCutHost:
-        return await this._whileIn(() => this._leaveAtCut(host), forMs, () => fleet.heal(host))
+        return await this._holdFault(() => fleet.freeze(host), forMs, () => fleet.resume(host))
+      case FaultKind.Isolate:
+        return await this._holdFault(() => fleet.isolate(host), forMs, () => fleet.heal(host))
+      case FaultKind.IsolateOneWay:
+        return await this._holdFault(() => fleet.isolateOneWay(host), forMs, () => fleet.heal(host))
+      case FaultKind.DeregisterAtIsolatedHost:
+        return await this._holdFault(() => this._deregisterAtIsolatedHost(host), forMs, () => fleet.heal(host))
       case FaultKind.Reset:
         return fleet.reset(host)
       default:
@@ -190,14 +190,14 @@
     }
   }
 
-  private async _whileIn (begin: () => void, forMs: number, end: () => void): Promise<void> {
-    begin()
+  private async _holdFault (inject: () => void, forMs: number, recover: () => void): Promise<void> {
+    inject()
     await pause(forMs)
-    end()
+    recover()
   }
 
-  private async _restart (host: SoakHost, end: () => Promise<void>, forMs: number): Promise<void> {
-    await end()
+  private async _restart (host: SoakHost, terminate: () => Promise<void>, forMs: number): Promise<void> {
+    await terminate()
     await pause(forMs)
     this._fleet.start(host)
     await pause(START_MS)
@@ -210,33 +210,33 @@
     await pause(START_MS)
   }
 
-  private async _workOnEndpoints (fault: PlannedFault): Promise<void> {
+  private async _disturbEndpoint (fault: PlannedFault): Promise<void> {
     if (fault.kind === FaultKind.Configure) return await this._callers.configure()
-    if (fault.kind === FaultKind.DeadlyCaller) return await this._callers.repeatDeadly(`deadly-${++this._deadlyCallersCount}`, fault.forMs)
-    const candidates = this._candidates()
-    const endpoint = candidates[fault.number % Math.max(1, candidates.length)]
+    if (fault.kind === FaultKind.PoisonCaller) return await this._callers.repeatPoisonRequest(`deadly-${++this._poisonCallersCount}`, fault.forMs)
+    const endpoints = this._availableEndpoints()
+    const endpoint = endpoints[fault.number % Math.max(1, endpoints.length)]
     if (!endpoint) return
-    // The one that takes its place starts first, so that there is always one of its service.
-    await this._addEndpoint(endpoint.parts.service)
+    // The replacement starts first, so that the service always has an endpoint.
+    await this._addEndpoint(endpoint.options.service)
     if (fault.kind === FaultKind.EndpointCrashes) endpoint.crash()
     else if (fault.kind === FaultKind.EndpointDrains) await endpoint.drain()
-    else await endpoint.leave()
+    else await endpoint.deregister()
   }
 
-  private _leaveAtCut (host: SoakHost): void {
-    const address = this._fleet.controlAddresses[this._fleet.of(HostGroup.Control).indexOf(host)]
-    const endpoint = this._candidates().find(({ homeAddress }) => homeAddress === address)
-    this._fleet.cutOff(host)
+  private _deregisterAtIsolatedHost (host: SoakHost): void {
+    const address = this._fleet.controlAddresses[this._fleet.hostsOf(HostGroup.Control).indexOf(host)]
+    const endpoint = this._availableEndpoints().find(({ controlAddress }) => controlAddress === address)
+    this._fleet.isolate(host)
     if (!endpoint) return
-    this._underWay.push((async () => {
-      await this._addEndpoint(endpoint.parts.service)
-      await pause(LEAVE_AFTER_CUT_MS)
-      await endpoint.leave()
+    this._pendingTasks.push((async () => {
+      await this._addEndpoint(endpoint.options.service)
+      await pause(DEREGISTER_AFTER_ISOLATION_MS)
+      await endpoint.deregister()
     })())
   }
 
-  private _candidates (): SoakEndpoint[] {
-    return this._endpoints.filter(({ isOver, parts }) => !isOver && !this._record.leaves.some(({ endpointName }) => endpointName === parts.name))
+  private _availableEndpoints (): SoakEndpoint[] {
+    return this._endpoints.filter(({ isStopped, options }) => !isStopped && !this._record.leaves.some(({ endpointName }) => endpointName === options.name))
   }
 
   private _nowMs (): number {
@@ -244,7 +244,7 @@
   }
 }
 
-/** Three control hosts that take requests too, entry hosts and store hosts. */
+/** Three control hosts, which also accept requests, plus entry hosts and store hosts. */
 export function hostCounts (entryHostsCount: number, storeHostsCount: number): HostCounts {
   return { [HostGroup.Control]: 3, [HostGroup.Entry]: entryHostsCount, [HostGroup.Store]: storeHostsCount }
 }
--- a/tests/fleetSoak/faultPlan.test.ts
+++ b/tests/fleetSoak/faultPlan.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { FaultKind, HostGroup, isOfHost, planFaults, QUIET_AFTER_MS, QUIET_BEFORE_MS } from '../../bench/fleetSoak/faultPlan.js'
+import { FaultKind, HostGroup, isHostFault, planFaults, QUIET_AFTER_MS, QUIET_BEFORE_MS } from '../../bench/fleetSoak/faultPlan.js'
 import { hostCounts } from '../../bench/fleetSoak/soakRun.js'
 
 const HOSTS = hostCounts(2, 4)
@@ -11,7 +11,7 @@
   t.notDeepEqual(planFaults({ seed: 8, durationMs: DURATION_MS, hosts: HOSTS }), plan)
 })
 
-test('should draw every kind over some seeds, and leave the start and the end quiet', t => {
+test('should draw every kind over some seeds, and none at the start and the end', t => {
   const all = Array.from({ length: 40 }, (_, seed) => planFaults({ seed: seed + 1, durationMs: DURATION_MS, hosts: HOSTS })).flat()
   t.deepEqual([...new Set(all.map(({ kind }) => kind))].sort(), Object.values(FaultKind).sort())
   t.true(all.every(({ atMs, forMs }) => atMs >= QUIET_BEFORE_MS && atMs + forMs <= DURATION_MS - QUIET_AFTER_MS))
@@ -19,7 +19,7 @@
 
 test('should disturb one control host and one store host at a time', t => {
   for (let seed = 1; seed <= 40; seed++) {
-    const plan = planFaults({ seed, durationMs: DURATION_MS, hosts: HOSTS }).filter(({ kind }) => isOfHost(kind) && kind !== FaultKind.PowerLoss)
+    const plan = planFaults({ seed, durationMs: DURATION_MS, hosts: HOSTS }).filter(({ kind }) => isHostFault(kind) && kind !== FaultKind.PowerLoss)
     for (const group of [HostGroup.Control, HostGroup.Store]) {
       const faults = plan.filter(fault => fault.group === group)
       t.true(faults.every((fault, index) => index === 0 || fault.atMs > faults[index - 1]!.atMs + faults[index - 1]!.forMs))
@@ -27,8 +27,8 @@
   }
 })
 
-test('should leave all other kinds out when some are named', t => {
-  const plan = planFaults({ seed: 3, durationMs: DURATION_MS, hosts: HOSTS, only: [FaultKind.EndpointLeaves] })
+test('should draw only the requested kinds', t => {
+  const plan = planFaults({ seed: 3, durationMs: DURATION_MS, hosts: HOSTS, only: [FaultKind.EndpointDeregisters] })
   t.true(plan.length > 0)
-  t.true(plan.every(({ kind }) => kind === FaultKind.EndpointLeaves))
+  t.true(plan.every(({ kind }) => kind === FaultKind.EndpointDeregisters))
 })
