--- a/bench/fleetSoak/soakEndpoint.ts
+++ b/bench/fleetSoak/soakEndpoint.ts
@@ -101,7 +101,7 @@
   }
 
   /** Deregisters without draining first. */
-  async deregister (): Promise<void> {
+  async leave (): Promise<void> {
     this._isLeaving = true
     await this._retryUntilConfirmed(async () => await this._call('deregister', ''))
     await pause(LINGER_MS)
--- a/bench/fleetSoak/soakRun.ts
+++ b/bench/fleetSoak/soakRun.ts
@@ -220,7 +220,7 @@
     await this._addEndpoint(endpoint.options.service)
     if (fault.kind === FaultKind.EndpointCrashes) endpoint.crash()
     else if (fault.kind === FaultKind.EndpointDrains) await endpoint.drain()
-    else await endpoint.deregister()
+    else await endpoint.leave()
   }
 
   private _deregisterAtIsolatedHost (host: SoakHost): void {
@@ -231,7 +231,7 @@
     this._pendingTasks.push((async () => {
       await this._addEndpoint(endpoint.options.service)
       await pause(DEREGISTER_AFTER_ISOLATION_MS)
-      await endpoint.deregister()
+      await endpoint.leave()
     })())
   }
 
