--- a/bench/requests.ts
+++ b/bench/requests.ts
@@ -1,6 +1,6 @@
 /**
- * The scheduling policy against plain baselines, on small stand-in engines
- * under a virtual clock: seeded, and the same on every run.
+ * Compares the scheduling policy with simple baselines on small stand-in engines
+ * under a virtual clock. Seeded; a seed gives the same figures on every run.
  */
 import type { BenchOptions, BenchResult } from './benchResult.js'
 import { Baseline } from './requests/baselines.js'
@@ -9,8 +9,8 @@
 import { POLICY, measureCapacity, simulate, type Contender } from './requests/simulation.js'
 
 const ENGINES_COUNT = 8
-/** An unloaded run has few requests a second, so it is measured for longer. */
-const UNLOADED_FACTOR = 10
+/** The unloaded scenario has few requests a second, so it is measured for longer. */
+const UNLOADED_DURATION_FACTOR = 10
 const contenders: Contender[] = [POLICY, Baseline.LeastReported, Baseline.RoundRobin, Baseline.Random]
 
 interface Setting {
@@ -25,14 +25,14 @@
   const capacity = await measureCapacity(ENGINES_COUNT, options.seed, measuredMs)
   const setting = { capacity, seed: options.seed, warmUpMs: 10_000, measuredMs }
   const results: BenchResult[] = [{ name: 'requests.capacity', value: capacity, unit: 'per_second', detail: `tokens of ${ENGINES_COUNT} engines` }]
-  const unloaded = await runOne(scenarios.unloaded!, POLICY, { ...setting, measuredMs: UNLOADED_FACTOR * measuredMs })
+  const unloaded = await runOne(scenarios.unloaded!, POLICY, { ...setting, measuredMs: UNLOADED_DURATION_FACTOR * measuredMs })
   const unloadedP99Ms = unloaded.classes.gold?.p99Ms ?? 1
   results.push({ name: 'requests.unloaded.gold_p99', value: unloadedP99Ms, unit: 'ms' })
   for (const [name, scenario] of Object.entries(scenarios)) {
     if (name === 'unloaded') continue
     for (const contender of scenario.policyOnly ? [POLICY] as Contender[] : contenders) {
       const figures = await runOne(scenario, contender, setting)
-      options.report(line(name, contender, figures, capacity))
+      options.report(progressLine(name, contender, figures, capacity))
       results.push(...toResults(`requests.${name}.${contender}`, figures, capacity, unloadedP99Ms))
     }
   }
@@ -64,7 +64,7 @@
   ]
 }
 
-function line (name: string, contender: Contender, figures: RunFigures, capacity: number): string {
+function progressLine (name: string, contender: Contender, figures: RunFigures, capacity: number): string {
   const classes = Object.entries(figures.classes).map(([className, { p50Ms, p99Ms, p999Ms, sharePercent, servedPercent, lateCount }]) =>
     `${className} ${p50Ms}/${p99Ms}/${p999Ms} ms ${sharePercent.toFixed(0)}% of tokens, ${servedPercent.toFixed(0)}% served, ${lateCount} late`)
   const summary = `goodput ${(figures.goodput / capacity).toFixed(3)} wasted ${figures.wastedPercent.toFixed(1)}% cache ${figures.cacheHitPercent.toFixed(0)}% peak ${figures.peakHeldCount}`
--- a/bench/requests/baselines.ts
+++ b/bench/requests/baselines.ts
@@ -1,7 +1,7 @@
 /**
- * What the policy is compared with: no queue of their own, the endpoint is
- * chosen at once and requests wait at the engines, which go by priority.
- * Retries: as many as the caller's deadline allows, two at most.
+ * Baselines for the policy. They have no queue: an endpoint is chosen at once,
+ * and requests wait at the engines, which serve them by priority. At most two
+ * retries, within the caller's deadline.
  */
 import type { EndpointDirectory, EndpointRecord } from '../../src/entry/directory/endpointRecord.js'
 import type { AssignOutcome, Scheduler, WorkItem } from '../../src/entry/scheduling/scheduler.js'
@@ -14,7 +14,7 @@
   Random = 'random'
 }
 
-const MAX_TRIES = 3
+const MAX_ATTEMPTS = 3
 
 class PlainScheduler implements Scheduler {
   private readonly _directory: EndpointDirectory
@@ -28,8 +28,8 @@
   async assign (item: WorkItem): Promise<AssignOutcome> {
     const records = this._directory.available(item.pool)
     const untried = records.filter(({ announcement }) => !item.excludedEndpointIds.includes(announcement.endpointId))
-    const endpoint = item.excludedEndpointIds.length < MAX_TRIES ? this._choose(untried) : undefined
-    if (!endpoint) return { kind: 'refused', reason: RefusalReason.NoEndpoint, message: 'none left' }
+    const endpoint = item.excludedEndpointIds.length < MAX_ATTEMPTS ? this._choose(untried) : undefined
+    if (!endpoint) return { kind: 'refused', reason: RefusalReason.NoEndpoint, message: 'no untried endpoint left' }
     return { kind: 'assigned', assignment: { endpoint, finish: () => {} } }
   }
 
--- a/bench/requests/recorder.ts
+++ b/bench/requests/recorder.ts
@@ -1,5 +1,5 @@
 /**
- * What one simulated run showed, counted inside its measured window.
+ * Collects the figures of one simulated run within its measurement window.
  */
 import * as hdr from 'hdr-histogram-js'
 import type { ClassLoad } from './workload.js'
@@ -11,22 +11,22 @@
   completeCount: number
   lateCount: number
   refusedCount: number
-  /** Of all tokens of answers that came in time. */
+  /** Share of all tokens of responses that completed in time. */
   sharePercent: number
-  /** Tokens that came in time, of those offered. */
+  /** Tokens that completed in time, of those offered. */
   servedPercent: number
 }
 
 export interface RunFigures {
-  /** Tokens a second of answers that came in time. */
+  /** Tokens a second of responses that completed in time. */
   goodput: number
-  /** Tokens made for answers that did not come in time, of all made. */
+  /** Tokens generated for responses that did not complete in time, of all tokens generated. */
   wastedPercent: number
   classes: Record<string, ClassFigures>
   refusals: Record<string, number>
   retries: Record<string, number>
   cacheHitPercent: number
-  /** Most requests that one engine held at once. */
+  /** Highest number of requests at one engine at once. */
   peakHeldCount: number
 }
 
@@ -54,12 +54,12 @@
   }
 
   offered (name: string, atMs: number, tokensCount: number): void {
-    if (this._inWindow(atMs)) this._of(name).offeredTokensCount += tokensCount
+    if (this._isInWindow(atMs)) this._countsOf(name).offeredTokensCount += tokensCount
   }
 
   complete (name: string, startedAtMs: number, nowMs: number, tokensCount: number, inTime: boolean): void {
-    if (!this._inWindow(nowMs)) return
-    const counts = this._of(name)
+    if (!this._isInWindow(nowMs)) return
+    const counts = this._countsOf(name)
     counts.latencies.recordValue(Math.max(1, Math.round(nowMs - startedAtMs)))
     counts.completeCount += 1
     if (inTime) counts.goodTokensCount += tokensCount
@@ -67,22 +67,22 @@
   }
 
   late (name: string, nowMs: number, tokensCount: number): void {
-    if (this._inWindow(nowMs)) this._of(name).lateCount += 1
+    if (this._isInWindow(nowMs)) this._countsOf(name).lateCount += 1
     this.wasted(nowMs, tokensCount)
   }
 
   wasted (nowMs: number, tokensCount: number): void {
-    if (this._inWindow(nowMs)) this._wastedCount += tokensCount
+    if (this._isInWindow(nowMs)) this._wastedCount += tokensCount
   }
 
   refused (name: string, nowMs: number, reason: string): void {
-    if (!this._inWindow(nowMs)) return
-    this._of(name).refusedCount += 1
+    if (!this._isInWindow(nowMs)) return
+    this._countsOf(name).refusedCount += 1
     this._refusals[reason] = (this._refusals[reason] ?? 0) + 1
   }
 
   retried (nowMs: number, reason: string): void {
-    if (this._inWindow(nowMs)) this._retries[reason] = (this._retries[reason] ?? 0) + 1
+    if (this._isInWindow(nowMs)) this._retries[reason] = (this._retries[reason] ?? 0) + 1
   }
 
   figures (cacheHitPercent: number, peakHeldCount: number): RunFigures {
@@ -99,13 +99,13 @@
     }
   }
 
-  private _inWindow (atMs: number): boolean {
+  private _isInWindow (atMs: number): boolean {
     return atMs >= this._fromMs && atMs < this._untilMs
   }
 
-  private _of (name: string): ClassCounts {
+  private _countsOf (name: string): ClassCounts {
     const counts = this._classes.get(name)
-    if (!counts) throw new Error(`no class ${name}`)
+    if (!counts) throw new Error(`unknown priority class ${name}`)
     return counts
   }
 }
--- a/bench/requests/scenarios.ts
+++ b/bench/requests/scenarios.ts
@@ -1,5 +1,5 @@
 /**
- * Loads and faults, as parts of the engines' measured capacity.
+ * Scenarios: loads, as fractions of the engines' measured capacity, and faults.
  */
 import type { RandomSource } from '../../src/utils/randomSource.js'
 import type { VirtualClock } from '../../tests/fixtures/virtualClock.js'
@@ -8,7 +8,7 @@
 
 export interface Scenario {
   hostsCount: number
-  /** Offered load, as part of the capacity of the healthy engines. */
+  /** Offered load, as a fraction of the capacity of the healthy engines. */
   loadAt (nowMs: number): number
   arrange? (engines: StandInEngine[], clock: VirtualClock): void
   hostFor? (load: ClassLoad, random: RandomSource): number
@@ -19,7 +19,7 @@
 const HOSTS_COUNT = 3
 const MANY_HOSTS_COUNT = 12
 const FAULT_AT_MS = 12_000
-const FLAP_EVERY_MS = 3_000
+const FLAP_INTERVAL_MS = 3_000
 const STALLED_SPEED = 1e-5
 const STALL_MS = 10_000
 const SPIKE_FROM_MS = 14_000
@@ -38,11 +38,11 @@
   clock.callAt(FAULT_AT_MS, () => { engines[0]!.speed = 1 })
 }
 
-/** Takes work and goes on reporting, but makes no token for a while. */
+/** Accepts work and keeps reporting, but generates no tokens for a while. */
 function stall (engines: StandInEngine[], clock: VirtualClock): void {
   clock.callAt(FAULT_AT_MS, () => { engines[0]!.speed = STALLED_SPEED })
   clock.callAt(FAULT_AT_MS + STALL_MS, () => engines[0]!.crash())
-  clock.callAt(FAULT_AT_MS + STALL_MS + FLAP_EVERY_MS, () => {
+  clock.callAt(FAULT_AT_MS + STALL_MS + FLAP_INTERVAL_MS, () => {
     engines[0]!.speed = 1
     engines[0]!.restart()
   })
@@ -57,7 +57,7 @@
   const turn = (): void => {
     if (engine.isUp) engine.crash()
     else engine.restart()
-    clock.callAt(clock.nowMs() + FLAP_EVERY_MS, turn)
+    clock.callAt(clock.nowMs() + FLAP_INTERVAL_MS, turn)
   }
   clock.callAt(FAULT_AT_MS, turn)
 }
@@ -81,6 +81,6 @@
   hosts_12_load_0_7: { ...steady(0.7, MANY_HOSTS_COUNT), policyOnly: true },
   hosts_12_load_1_5: steady(1.5, MANY_HOSTS_COUNT),
   hosts_1_load_1_5: { ...steady(1.5, 1), policyOnly: true },
-  /** All gold requests come to the first host, all others to the rest. */
+  /** The first host receives all gold requests, the other hosts receive the rest. */
   skewed_1_5: { ...steady(1.5), policyOnly: true, hostFor: (load, random) => load.name === 'gold' ? 0 : random.int(1, HOSTS_COUNT - 1) }
 }
--- a/bench/requests/simulation.ts
+++ b/bench/requests/simulation.ts
@@ -1,6 +1,6 @@
 /**
- * One run: several entry hosts, each with its own scheduler and its own late
- * view of the engines, under an open-loop load.
+ * One simulated run: several entry hosts under an open-loop load, each with its
+ * own scheduler and its own delayed view of the engines.
  */
 import { createScheduler } from '../../src/entry/scheduling/priorityScheduler.js'
 import type { Assignment, Scheduler } from '../../src/entry/scheduling/scheduler.js'
@@ -15,7 +15,7 @@
 import { VirtualClock } from '../../tests/fixtures/virtualClock.js'
 import { Baseline, createBaseline } from './baselines.js'
 import { Recorder, type RunFigures } from './recorder.js'
-import { StandInEngine, usualEngine, type EngineResult } from './standInEngine.js'
+import { StandInEngine, defaultEngineSpec, type EngineResult } from './standInEngine.js'
 import { Workload, classLoads, type ClassLoad, type SimulatedRequest } from './workload.js'
 
 export const POLICY = 'policy'
@@ -26,11 +26,11 @@
   seed: number
   hostsCount: number
   enginesCount: number
-  /** Offered tokens a second at an instant. */
+  /** Offered tokens a second at a point in time. */
   offeredAt (nowMs: number): number
-  /** Sets faults as time passes. */
+  /** Schedules the faults. */
   arrange? (engines: StandInEngine[], clock: VirtualClock): void
-  /** Whether a host gets a request of a class; all equally likely when unset. */
+  /** Index of the host that receives a request of a class; uniformly random when unset. */
   hostFor? (load: ClassLoad, random: RandomSource): number
   warmUpMs: number
   measuredMs: number
@@ -42,7 +42,7 @@
 }
 
 const POOL = 'engines'
-const REPORT_EVERY_MS = 500
+const REPORT_INTERVAL_MS = 500
 const MIN_REPORT_LAG_MS = 50
 const MAX_REPORT_LAG_MS = 400
 const NETWORK_MS = 1
@@ -74,7 +74,7 @@
     const { warmUpMs, measuredMs, arrange } = this._options
     this._engines.forEach((_, index) => this._reportRegularly(index))
     await this._clock.advance(0)
-    for (const load of classLoads) this._arriveNext(load)
+    for (const load of classLoads) this._scheduleArrival(load)
     arrange?.(this._engines, this._clock)
     await this._clock.advance(warmUpMs + measuredMs)
     this._scope.close('run over')
@@ -104,12 +104,12 @@
     return configuration
   }
 
-  /** Engines report in turn, and every host learns of it after a lag of its own. */
+  /** Each engine reports periodically; every host receives the report after its own random lag. */
   private _reportRegularly (index: number): void {
-    const offsetMs = this._random.int(0, REPORT_EVERY_MS)
+    const offsetMs = this._random.int(0, REPORT_INTERVAL_MS)
     const report = (): void => {
       this._report(index)
-      this._clock.callAt(this._clock.nowMs() + REPORT_EVERY_MS, report)
+      this._clock.callAt(this._clock.nowMs() + REPORT_INTERVAL_MS, report)
     }
     this._report(index, 0)
     this._clock.callAt(offsetMs, report)
@@ -157,13 +157,13 @@
     for (const { directory } of this._hosts) directory.remove(endpointName(index))
   }
 
-  private _arriveNext (load: ClassLoad): void {
+  private _scheduleArrival (load: ClassLoad): void {
     const gapMs = this._workload.gapMs(load, this._options.offeredAt(this._clock.nowMs()))
     this._clock.callAt(this._clock.nowMs() + gapMs, () => {
       const hostIndex = this._options.hostFor?.(load, this._random) ?? this._random.int(0, this._hosts.length - 1)
       const host = this._hosts[hostIndex]
-      for (const request of this._workload.next(load)) if (host) this._serve(host, request).catch(ignoreEnd)
-      this._arriveNext(load)
+      for (const request of this._workload.next(load)) if (host) this._serve(host, request).catch(ignoreRejection)
+      this._scheduleArrival(load)
     })
   }
 
@@ -177,7 +177,7 @@
     for (;;) {
       const outcome = await host.scheduler.assign(this._item(request, excludedEndpointIds), progress)
       if (outcome.kind === 'refused') return this._recorder.refused(name, this._clock.nowMs(), outcome.reason)
-      const result = await this._try(outcome.assignment, request, progress)
+      const result = await this._attempt(outcome.assignment, request, progress)
       if (result.kind === 'complete') {
         return this._recorder.complete(name, startedAtMs, this._clock.nowMs(), result.tokensCount, !progress.isOver())
       }
@@ -190,15 +190,15 @@
     }
   }
 
-  /** One try; given up at the deadline, which the engine is told. */
-  private async _try (assignment: Assignment, request: SimulatedRequest, progress: Progress): Promise<EngineResult> {
+  /** One attempt, which is cancelled at the engine when the deadline passes. */
+  private async _attempt (assignment: Assignment, request: SimulatedRequest, progress: Progress): Promise<EngineResult> {
     const startedAtMs = this._clock.nowMs()
     const index = Number(assignment.endpoint.announcement.endpointId.split('-')[1])
-    const tryScope = progress.scope.child('try')
-    const cancelTimer = this._clock.callAt(progress.deadlineMs, () => tryScope.close('deadline'))
-    await this._pause()
-    const result = await this._engines[index]!.run(request.job, tryScope)
-    await this._pause()
+    const attemptScope = progress.scope.child('try')
+    const cancelTimer = this._clock.callAt(progress.deadlineMs, () => attemptScope.close('deadline'))
+    await this._networkDelay()
+    const result = await this._engines[index]!.run(request.job, attemptScope)
+    await this._networkDelay()
     cancelTimer()
     const durationMs = this._clock.nowMs() - startedAtMs
     const firstTokenMs = (result.firstTokenAtMs ?? startedAtMs) - startedAtMs
@@ -207,7 +207,7 @@
     return result
   }
 
-  private _pause (): Promise<void> {
+  private _networkDelay (): Promise<void> {
     return new Promise(resolve => this._clock.callAt(this._clock.nowMs() + NETWORK_MS, resolve))
   }
 
@@ -229,16 +229,16 @@
   return `engine-${index}`
 }
 
-/** Requests under way when the run ends unwind by the closing of its scope. */
-function ignoreEnd (): void {}
+/** Requests in flight at the end of the run reject when its scope closes. */
+function ignoreRejection (): void {}
 
 export async function simulate (options: SimulationOptions): Promise<RunFigures> {
   return await new Simulation(options).run()
 }
 
 /**
- * Tokens a second of one engine that always has its places full, when each
- * shared prefix stays on the engine that it was first given to.
+ * Tokens a second of all engines when every slot is always in use and each shared
+ * prefix is only ever served by one engine.
  */
 export async function measureCapacity (enginesCount: number, seed: number, measuredMs: number): Promise<number> {
   const clock = new VirtualClock()
@@ -250,14 +250,14 @@
   const keepBusy = async (engine: StandInEngine, queue: SimulatedRequest[]): Promise<void> => {
     for (;;) {
       const request = queue.shift() ?? refill(workload, engines.indexOf(engine), enginesCount, queue)
-      const { tokensCount: made } = await engine.run(request.job, scope)
+      const { tokensCount: generatedCount } = await engine.run(request.job, scope)
       if (scope.isClosed) return
-      if (clock.nowMs() >= warmUpMs) tokensCount += made
+      if (clock.nowMs() >= warmUpMs) tokensCount += generatedCount
     }
   }
   const loops = engines.flatMap(engine => {
     const queue: SimulatedRequest[] = []
-    return Array.from({ length: usualEngine.maxConcurrentCount }, () => keepBusy(engine, queue))
+    return Array.from({ length: defaultEngineSpec.maxConcurrentCount }, () => keepBusy(engine, queue))
   })
   await clock.advance(warmUpMs + measuredMs)
   scope.close('measured')
@@ -265,7 +265,7 @@
   return tokensCount / measuredMs * 1000
 }
 
-/** Draws until a request's shared prefix belongs to the engine; its group, if any, goes to the queue. */
+/** Draws until a request's shared prefix belongs to the engine; queues the rest of its group, if any. */
 function refill (workload: Workload, engineIndex: number, enginesCount: number, queue: SimulatedRequest[]): SimulatedRequest {
   for (;;) {
     const requests = workload.next(workload.randomClass())
--- a/bench/requests/standInEngine.ts
+++ b/bench/requests/standInEngine.ts
@@ -1,10 +1,10 @@
 /**
  * A small model engine on a virtual clock: continuous batching, chunked
- * prefill, a prefix cache of limited size, a waiting queue by priority.
+ * prefill, a prefix cache of limited size, and a priority queue.
  *
- * One step makes one token for every request past its prefill. A step takes a
- * fixed time, a little more for each request in it, and the time of the prompt
- * tokens computed in it.
+ * One step generates one token for every request past its prefill. A step takes a
+ * fixed time, plus a little for each request in it, plus the time to compute its
+ * prompt tokens.
  */
 import { LRUCache } from 'lru-cache'
 import type { LoadReport } from '../../src/protocol/endpoints.js'
@@ -20,7 +20,7 @@
   cacheTokensCount: number
 }
 
-export const usualEngine: EngineSpec = {
+export const defaultEngineSpec: EngineSpec = {
   maxConcurrentCount: 16,
   stepMs: 10,
   stepPerRequestMs: 0.1,
@@ -29,7 +29,7 @@
   cacheTokensCount: 12_000
 }
 
-/** A stretch of a prompt that others may share, from its start on. */
+/** A segment of a prompt's prefix that other prompts may share. */
 export interface PrefixPart {
   key: string
   tokensCount: number
@@ -37,10 +37,10 @@
 
 export interface EngineJob {
   prefix: PrefixPart[]
-  /** Prompt tokens that nobody shares. */
+  /** Prompt tokens that no other request shares. */
   ownTokensCount: number
   outputTokensCount: number
-  /** Higher goes first. */
+  /** Higher values are served first. */
   priority: number
 }
 
@@ -52,7 +52,7 @@
 
 interface RunningJob {
   job: EngineJob
-  prefillLeftCount: number
+  prefillRemainingCount: number
   tokensCount: number
   firstTokenAtMs: number | undefined
   admitted: boolean
@@ -61,7 +61,7 @@
 
 export class StandInEngine {
   readonly spec: EngineSpec
-  /** 1 as specified; 0.2 makes every step take five times as long. */
+  /** Speed factor: 1 is the specified speed; 0.2 makes every step take five times as long. */
   speed = 1
   cachedTokensCount = 0
   promptTokensCount = 0
@@ -70,12 +70,12 @@
   private readonly _cache: LRUCache<string, number>
   private _jobs: RunningJob[] = []
   private _isUp = true
-  private _stepping = false
+  private _isStepping = false
   private _incarnation = 1
   private _tokensSinceReport = 0
   private _reportedAtMs = 0
 
-  constructor (clock: Clock, spec: EngineSpec = usualEngine) {
+  constructor (clock: Clock, spec: EngineSpec = defaultEngineSpec) {
     this._clock = clock
     this.spec = spec
     this._cache = new LRUCache<string, number>({ maxSize: spec.cacheTokensCount, sizeCalculation: value => value })
@@ -93,7 +93,7 @@
     return this._jobs.length
   }
 
-  /** Loses everything it runs and refuses connections. */
+  /** Fails all requests and refuses new ones until `restart`. */
   crash (): void {
     this._isUp = false
     const lost = this._jobs
@@ -116,35 +116,35 @@
     return { runningCount, waitingCount: this._jobs.length - runningCount, kvUsedPercent: 0, tokensPerSecond, ageMs: 0 }
   }
 
-  /** Runs until complete, lost, or the scope closes. */
+  /** Runs until the job completes, the engine crashes, or the scope closes. */
   run (job: EngineJob, scope: Scope): Promise<EngineResult> {
     if (!this._isUp) return Promise.resolve({ kind: 'failed', tokensCount: 0 })
     return new Promise(resolve => {
-      const running: RunningJob = { job, prefillLeftCount: 0, tokensCount: 0, firstTokenAtMs: undefined, admitted: false, end: resolve }
-      const forget = scope.onClose(() => {
+      const running: RunningJob = { job, prefillRemainingCount: 0, tokensCount: 0, firstTokenAtMs: undefined, admitted: false, end: resolve }
+      const unsubscribe = scope.onClose(() => {
         this._jobs = this._jobs.filter(other => other !== running)
         resolve({ kind: 'cancelled', tokensCount: running.tokensCount })
       })
       running.end = result => {
-        forget()
+        unsubscribe()
         resolve(result)
       }
       this._jobs.push(running)
       this.peakCount = Math.max(this.peakCount, this._jobs.length)
-      if (!this._stepping) this._step()
+      if (!this._isStepping) this._step()
     })
   }
 
   private _step (): void {
     this._admitWaiting()
     const admitted = this._jobs.filter(job => job.admitted)
-    this._stepping = admitted.length > 0
-    if (!this._stepping) return
-    const decoding = admitted.filter(job => job.prefillLeftCount === 0)
+    this._isStepping = admitted.length > 0
+    if (!this._isStepping) return
+    const decoding = admitted.filter(job => job.prefillRemainingCount === 0)
     const prefilledCount = this._prefill(admitted)
     const stepMs = this.spec.stepMs + this.spec.stepPerRequestMs * admitted.length + prefilledCount / this.spec.prefillTokensPerMs
     this._clock.callAt(this._clock.nowMs() + stepMs / this.speed, () => {
-      for (const job of decoding) this._makeToken(job)
+      for (const job of decoding) this._generateToken(job)
       this._step()
     })
   }
@@ -155,7 +155,7 @@
     for (const running of waiting) {
       if (freeCount-- <= 0) return
       running.admitted = true
-      running.prefillLeftCount = this._uncachedTokens(running.job)
+      running.prefillRemainingCount = this._uncachedTokens(running.job)
     }
   }
 
@@ -173,19 +173,19 @@
   }
 
   private _prefill (admitted: RunningJob[]): number {
-    let leftCount = this.spec.prefillChunkTokensCount
+    let remainingCount = this.spec.prefillChunkTokensCount
     for (const running of admitted) {
-      if (running.prefillLeftCount === 0 || leftCount === 0) continue
-      const taken = Math.min(leftCount, running.prefillLeftCount)
-      leftCount -= taken
-      running.prefillLeftCount -= taken
-      if (running.prefillLeftCount > 0) continue
+      if (running.prefillRemainingCount === 0 || remainingCount === 0) continue
+      const prefilledCount = Math.min(remainingCount, running.prefillRemainingCount)
+      remainingCount -= prefilledCount
+      running.prefillRemainingCount -= prefilledCount
+      if (running.prefillRemainingCount > 0) continue
       for (const { key, tokensCount } of running.job.prefix) this._cache.set(key, tokensCount)
     }
-    return this.spec.prefillChunkTokensCount - leftCount
+    return this.spec.prefillChunkTokensCount - remainingCount
   }
 
-  private _makeToken (running: RunningJob): void {
+  private _generateToken (running: RunningJob): void {
     if (!this._jobs.includes(running)) return
     running.tokensCount += 1
     running.firstTokenAtMs ??= this._clock.nowMs()
--- a/bench/requests/workload.ts
+++ b/bench/requests/workload.ts
@@ -1,7 +1,7 @@
 /**
- * The mixture of requests: three priority classes, prompts that share system
- * prefixes of skewed popularity, and rollout groups whose samples share their
- * whole prompt.
+ * The mix of requests: three priority classes, prompts that share system
+ * prefixes of skewed popularity, and rollout groups whose samples share the
+ * entire prompt.
  */
 import type { RandomSource } from '../../src/utils/randomSource.js'
 import type { EngineJob, PrefixPart } from './standInEngine.js'
@@ -10,10 +10,10 @@
   name: string
   paidWeight: number
   minSharePercent: number
-  /** Part of the offered tokens. */
+  /** Fraction of the offered tokens. */
   offeredShare: number
   medianTokensCount: number
-  /** Of the lognormal distribution of output lengths. */
+  /** Sigma of the lognormal distribution of output lengths. */
   sigma: number
   deadlineMs: number
   groupSizeCount: number
@@ -30,7 +30,7 @@
   job: EngineJob
   affinityText: string
   groupKey: string | undefined
-  /** What the scheduler is told; the true length is in the job. */
+  /** The estimate that the scheduler receives; the job has the actual length. */
   expectedTokensCount: number
 }
 
@@ -59,18 +59,18 @@
     return Array.from({ length: load.groupSizeCount }, () => this._request(load, [shared, own], groupKey))
   }
 
-  /** Milliseconds to the next arrival of a class, Poisson, when so many tokens a second are offered in all. */
+  /** Milliseconds to the next arrival of a class in a Poisson process; `tokensPerSecond` is the load of all classes. */
   gapMs (load: ClassLoad, tokensPerSecond: number): number {
     const perArrival = meanTokensCount(load) * load.groupSizeCount
     const arrivalsPerMs = tokensPerSecond * load.offeredShare / perArrival / 1000
     return -Math.log(1 - this._random.real()) / arrivalsPerMs
   }
 
-  /** A class by its part of the requests. */
+  /** A random class, weighted by its fraction of the requests. */
   randomClass (): ClassLoad {
     const rates = classLoads.map(load => load.offeredShare / meanTokensCount(load) / load.groupSizeCount)
-    let left = this._random.real() * rates.reduce((total, rate) => total + rate, 0)
-    return classLoads.find((_, index) => (left -= rates[index] ?? 0) < 0) ?? classLoads[0]!
+    let remaining = this._random.real() * rates.reduce((total, rate) => total + rate, 0)
+    return classLoads.find((_, index) => (remaining -= rates[index] ?? 0) < 0) ?? classLoads[0]!
   }
 
   private _request (load: ClassLoad, prefix: PrefixPart[], groupKey: string | undefined): SimulatedRequest {
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Popularity falls with the index, as 1 / (index + 1). */
+  /** An index whose probability is proportional to 1 / (index + 1). */
   private _skewedIndex (): number {
     const index = Math.floor(Math.exp(this._random.real() * Math.log(SHARED_PREFIXES + 1))) - 1
     return Math.min(SHARED_PREFIXES - 1, index)
@@ -98,7 +98,7 @@
   }
 }
 
-/** Mean of the lognormal distribution; the cut at the longest outputs is left out. */
+/** Mean of the lognormal distribution, ignoring the limit on the output length. */
 export function meanTokensCount (load: ClassLoad): number {
   return load.medianTokensCount * Math.exp(load.sigma ** 2 / 2)
 }
@@ -110,10 +110,10 @@
 const texts = new Map<string, string>()
 
 function textOf (part: PrefixPart): string {
-  const known = texts.get(part.key)
-  if (known) return known
+  const cached = texts.get(part.key)
+  if (cached) return cached
   const text = `${part.key} `.repeat(Math.ceil(part.tokensCount * CHARACTERS_PER_TOKEN / (part.key.length + 1)))
-  const cut = text.slice(0, part.tokensCount * CHARACTERS_PER_TOKEN)
-  if (part.key.startsWith('shared')) texts.set(part.key, cut)
-  return cut
+  const truncated = text.slice(0, part.tokensCount * CHARACTERS_PER_TOKEN)
+  if (part.key.startsWith('shared')) texts.set(part.key, truncated)
+  return truncated
 }
