--- a/bench/rollouts.ts
+++ b/bench/rollouts.ts
@@ -1,7 +1,7 @@
 /**
- * Rollouts: how long trainers stand idle, how stale their samples are, and what
- * is thrown away, against the plain policy in the same run. On a virtual clock:
- * the figures do not depend on the machine.
+ * Rollouts: idle time of trainers, staleness of samples and discarded tokens,
+ * compared with the plain policy in the same run. Runs on a virtual clock, so the
+ * figures do not depend on the machine.
  */
 import { BenchUnit, type BenchOptions, type BenchResult } from './benchResult.js'
 import { Policy, runScenario, type Reading, type Scenario } from './rollouts/scenario.js'
@@ -11,7 +11,7 @@
 
 interface Setting {
   name: string
-  /** All of them unless set. */
+  /** All policies by default. */
   policies?: Policy[]
   scenario: Omit<Scenario, 'policy'>
 }
@@ -28,7 +28,7 @@
     { name: 'threeTrainers', scenario: { ...base, ...shared } },
     { name: 'threeTrainersEngineLost', scenario: { ...base, ...shared, losesEngine: true } },
     { name: 'backToBack', scenario: { ...base, trainersCount: 1, trainMs: 0 } },
-    // The knob at its middle and at its end; oneTrainer has it at 0.
+    // The weight at half and at its maximum; oneTrainer has it at 0.
     { name: 'stalenessWeightHalf', policies: [Policy.Threaddrum], scenario: { ...base, trainersCount: 1, stalenessWeight: 0.5 } },
     { name: 'stalenessWeightOne', policies: [Policy.Threaddrum], scenario: { ...base, trainersCount: 1, stalenessWeight: 1 } }
   ]
@@ -40,7 +40,7 @@
   return results
 }
 
-/** All policies over the same samples. */
+/** Runs the policies on the same samples. */
 export async function runSetting ({ name, scenario, policies = Object.values(Policy) }: Setting, options: BenchOptions): Promise<BenchResult[]> {
   const readings = new Map<Policy, Reading>()
   const results: BenchResult[] = []
--- a/bench/rollouts/scenario.ts
+++ b/bench/rollouts/scenario.ts
@@ -1,7 +1,7 @@
 /**
- * One run of the rollout side on a virtual clock: the real ledger, workers,
- * delivery, weight distribution and scheduler over seeded engines whose
- * samples have heavy-tailed lengths.
+ * One rollout run on a virtual clock: the real ledger, workers, delivery, weight
+ * distribution and scheduler with seeded engines whose samples have heavy-tailed
+ * lengths.
  */
 import { createHash } from 'node:crypto'
 import { seededRandom, type RandomSource } from '../../src/utils/randomSource.js'
@@ -10,11 +10,11 @@
 import { VirtualTrainer } from '../../tests/fixtures/rollouts/virtualTrainer.js'
 
 export enum Policy {
-  /** As the product does it. */
+  /** The product's own policy. */
   Threaddrum = 'threaddrum',
-  /** First in, first out; restart on failure; all engines swapped at once; nothing ahead. */
+  /** First in, first out; runs restart on failure; all engines swap weights at once; no step starts ahead. */
   Plain = 'plain',
-  /** The same, but it may start the next step as early as the product does. */
+  /** As `Plain`, but may start steps ahead as the product does. */
   PlainAhead = 'plainAhead'
 }
 
@@ -26,7 +26,7 @@
   samplesPerStepCount: number
   trainMs: number
   losesEngine: boolean
-  /** One engine runs at a fifth of its speed from the middle of the run on. */
+  /** One engine runs at a fifth of its speed from the middle of the run. */
   slowsEngine: boolean
   stalenessBoundVersions: number
   startAheadSteps: number
@@ -38,10 +38,10 @@
   stalenessMean: number
   stalenessP95: number
   stalenessWorst: number
-  /** Time of the whole run over what no policy could be below. */
+  /** Duration of the run over a lower bound for every policy. */
   timeOverBound: number
   discardedPercent: number
-  /** From a publish until every engine has the version, over the store's own time; the worst. */
+  /** Time from a publish until every engine has the version, over the store's transfer time; the maximum of the run. */
   swapOverStore: number
   violationsCount: number
 }
@@ -52,10 +52,10 @@
 const PROMPTS_COUNT = 96
 const MAX_TOKENS = 1_024
 const MEDIAN_TOKENS = 150
-/** Spread of the logarithm of lengths, between prompts and within one. */
+/** Standard deviation of the logarithm of lengths, between prompts and within a prompt. */
 const PROMPT_SIGMA = 0.6
 const SAMPLE_SIGMA = 0.5
-const ENGINE_AWAY_MS = 20_000
+const ENGINE_DOWNTIME_MS = 20_000
 const PACE: EnginePace = { ...defaultPace, maxConcurrentCount: 16 }
 const STORE = { weightBytes: 500_000_000, adapterBytes: 100_000_000, bytesPerSecond: 1_000_000_000 }
 
@@ -63,13 +63,13 @@
   return Math.sqrt(-2 * Math.log(1 - random.real())) * Math.cos(2 * Math.PI * random.real())
 }
 
-/** The n-th sample of a prompt is equally long under every policy. */
+/** Draws lengths so that the n-th sample of a prompt has the same length under every policy. */
 function heavyTail (seed: number): WorldOptions['drawLength'] {
   const prompts = new Map<string, { random: RandomSource, factor: number }>()
   return prompt => {
-    const known = prompts.get(prompt) ?? newPrompt(seed, prompt)
-    prompts.set(prompt, known)
-    const length = MEDIAN_TOKENS * known.factor * Math.exp(SAMPLE_SIGMA * normal(known.random))
+    const promptLengths = prompts.get(prompt) ?? newPrompt(seed, prompt)
+    prompts.set(prompt, promptLengths)
+    const length = MEDIAN_TOKENS * promptLengths.factor * Math.exp(SAMPLE_SIGMA * normal(promptLengths.random))
     return Math.round(Math.min(MAX_TOKENS, Math.max(8, length)))
   }
 }
@@ -123,13 +123,13 @@
   if (scenario.slowsEngine) slowEngine(world)
   await world.clock.advanceUntil(Promise.all(runs), 36_000_000)
   const elapsedMs = world.clock.nowMs() - startedAtMs
-  const reading = readRun(world, trainers, elapsedMs, scenario)
+  const reading = summarizeRun(world, trainers, elapsedMs, scenario)
   world.stop()
   if (stepsCount < 1 || world.fatal.length > 0) throw new Error(world.fatal.join('\n'))
   return reading
 }
 
-/** Starts nothing ahead of the last step, so that all that was generated can be counted. */
+/** Starts no work beyond the last step, so that all generated tokens can be accounted for. */
 async function runTrainer (world: RolloutWorld, trainer: VirtualTrainer, name: string, scenario: Scenario, at: number): Promise<void> {
   await trainer.open()
   for (let step = 0; step < scenario.stepsCount; step++) {
@@ -145,7 +145,7 @@
   const { clock } = world
   clock.callAt(clock.nowMs() + 25_000, () => {
     engine?.crash()
-    clock.callAt(clock.nowMs() + ENGINE_AWAY_MS, () => engine?.start(0))
+    clock.callAt(clock.nowMs() + ENGINE_DOWNTIME_MS, () => engine?.start(0))
   })
 }
 
@@ -156,13 +156,13 @@
   })
 }
 
-function readRun (world: RolloutWorld, trainers: VirtualTrainer[], elapsedMs: number, scenario: Scenario): Reading {
+function summarizeRun (world: RolloutWorld, trainers: VirtualTrainer[], elapsedMs: number, scenario: Scenario): Reading {
   const steps = trainers.flatMap(({ steps }) => steps)
   const staleness = trainers.flatMap(({ staleness }) => staleness).sort((a, b) => a - b)
   const deliveredCount = steps.reduce((sum, { tokensCount }) => sum + tokensCount, 0)
   const sum = (values: number[]): number => values.reduce((a, b) => a + b, 0)
   return {
-    // The first step has nothing to overlap with under any policy.
+    // The first step cannot overlap with training under any policy.
     idleMsPerStep: sum(trainers.flatMap(({ steps }) => steps.slice(1)).map(({ idleMs }) => idleMs)) / (steps.length - trainers.length),
     stalenessMean: sum(staleness) / staleness.length,
     stalenessP95: staleness[Math.floor(0.95 * staleness.length)] ?? 0,
@@ -175,9 +175,10 @@
 }
 
 /**
- * Total tokens over what full batches make, or the chain of longest samples:
- * a step cannot be whole before its longest sample, which starts when the
- * trainer pulls the step, or the one that it may be started ahead of.
+ * The larger of two bounds: all tokens at the throughput of full batches, and the
+ * chain of longest samples. A step cannot be complete before its longest sample,
+ * which starts at the earliest when the trainer pulls the step, or the earlier step
+ * from which it may be started ahead.
  */
 function lowerBoundMs (trainers: VirtualTrainer[], deliveredCount: number, { trainMs, startAheadSteps }: Scenario): number {
   const engineMs = 1000 * deliveredCount / (ENGINES_COUNT * capacityPerSecond(PACE))
@@ -187,13 +188,13 @@
 
 function chainMs (longestTokensCounts: number[], trainMs: number, startAheadSteps: number): number {
   const msPerToken = PACE.roundMs / PACE.tokensPerRound
-  const pulledAtMs: number[] = []
+  const pullTimesMs: number[] = []
   let readyAtMs = 0
   for (const [step, longestTokensCount] of longestTokensCounts.entries()) {
-    pulledAtMs.push(readyAtMs)
-    const startedAtMs = pulledAtMs[Math.max(0, step - startAheadSteps)] ?? 0
-    const wholeAtMs = Math.max(readyAtMs, startedAtMs + longestTokensCount * msPerToken)
-    readyAtMs = wholeAtMs + trainMs
+    pullTimesMs.push(readyAtMs)
+    const startedAtMs = pullTimesMs[Math.max(0, step - startAheadSteps)] ?? 0
+    const completeAtMs = Math.max(readyAtMs, startedAtMs + longestTokensCount * msPerToken)
+    readyAtMs = completeAtMs + trainMs
   }
   return readyAtMs
 }
