--- a/bench/leader.ts
+++ b/bench/leader.ts
@@ -1,7 +1,7 @@
 /**
- * The leader of the batch store under the steps of three trainers: its
- * processor time for an item, and for how long it answers nothing. Followers
- * and engines run in processes of their own.
+ * The leader of the batch store under the steps of three trainers: its processor
+ * time per item, and the longest time for which its event loop is blocked.
+ * Followers and engines run in separate processes.
  */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { mkdtempSync, rmSync } from 'node:fs'
@@ -12,12 +12,12 @@
 
 const REPLICAS_COUNT = 10
 const ENGINES_COUNT = 31
-/** Every fifth engine is slow, as while a part of them is throttled. */
-const SLOW_EACH = 5
+/** Every fifth engine is slow, as if some of them were throttled. */
+const SLOW_ENGINE_INTERVAL = 5
 const QUICK_SECONDS = 4
 const FULL_SECONDS = 12
 
-/** What the leader prints each second. */
+/** Report that the leader prints each second. */
 interface SecondReport {
   cpuMs: number
   heldUpMs: number
@@ -29,10 +29,10 @@
   return spawn(process.execPath, [path, ...args], { stdio: ['ignore', 'pipe', 'inherit', 'ipc'] })
 }
 
-async function untilListening (child: ChildProcess): Promise<void> {
+async function waitUntilListening (child: ChildProcess): Promise<void> {
   await new Promise<void>((resolve, reject) => {
     child.stdout?.once('data', () => resolve())
-    child.once('exit', code => reject(new Error(`it ended with ${String(code)} before it listened`)))
+    child.once('exit', code => reject(new Error(`child process exited with ${String(code)} before it listened`)))
   })
 }
 
@@ -46,15 +46,15 @@
 export async function run ({ quick, report }: BenchOptions): Promise<BenchResult[]> {
   const ip = `127.${1 + process.pid % 250}.19.1`
   const folder = mkdtempSync(join(tmpdir(), 'threaddrum-bench-'))
-  const engines = start('engines', [ip, String(ENGINES_COUNT), String(SLOW_EACH)])
+  const engines = start('engines', [ip, String(ENGINES_COUNT), String(SLOW_ENGINE_INTERVAL)])
   const followers = start('followers', [ip, String(REPLICAS_COUNT), folder])
-  await Promise.all([untilListening(engines), untilListening(followers)])
+  await Promise.all([waitUntilListening(engines), waitUntilListening(followers)])
   const seconds = quick ? QUICK_SECONDS : FULL_SECONDS
   const reports = await reportsOf(start('leader', [ip, String(REPLICAS_COUNT), String(ENGINES_COUNT), String(seconds), folder]))
   for (const child of [engines, followers]) child.disconnect()
   rmSync(folder, { recursive: true, force: true })
   for (const [second, { cpuMs, heldUpMs, listedCount }] of reports.entries()) {
-    report(`second ${second + 1}: ${cpuMs} ms of processor time, held up ${heldUpMs} ms, ${listedCount} listed`)
+    report(`second ${second + 1}: ${cpuMs} ms of processor time, event loop blocked for ${heldUpMs} ms, ${listedCount} listed`)
   }
   const cpuMs = reports.reduce((sum, second) => sum + second.cpuMs, 0)
   const listedCount = reports.at(-1)?.listedCount ?? 0
--- a/bench/leader/engines.ts
+++ b/bench/leader/engines.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in engines and a scoring service on loopback addresses, in a process of
- * their own: `engines.js IP ENGINES SLOW_EACH`. Each engine streams the events of
- * an item at its pace; the length of an item is drawn from its id.
+ * Stand-in engines and a scoring service on loopback addresses, in a separate
+ * process: `engines.js IP ENGINES SLOW_ENGINE_INTERVAL`. Each engine streams the
+ * events of an item at a fixed pace; the length of an item derives from its id.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 
@@ -13,10 +13,10 @@
 const SCORING_MS = 30
 
 const [ip = '127.0.0.1', enginesText = '31', slowEachText = '0'] = process.argv.slice(2)
-const slowEach = Number(slowEachText)
+const slowEngineInterval = Number(slowEachText)
 const FIRST_PORT = 21_000
 
-/** A length with a heavy tail that belongs to the item. */
+/** Number of events of an item: heavy-tailed, and deterministic for each item. */
 function eventsCountOf (itemId: string): number {
   let hash = 2_166_136_261
   for (const letter of itemId) hash = Math.imul(hash ^ letter.charCodeAt(0), 16_777_619) >>> 0
@@ -29,7 +29,7 @@
   return { 'x-threaddrum-attempt-id': attemptId, 'x-threaddrum-server-stamp': `stamp-${attemptId}`, 'x-threaddrum-weight-versions': '1' }
 }
 
-function answer (request: IncomingMessage, response: ServerResponse, gapMs: number): void {
+function handleRequest (request: IncomingMessage, response: ServerResponse, gapMs: number): void {
   request.resume()
   const attemptId = String(request.headers['x-threaddrum-attempt-id'])
   if (request.url?.startsWith('/open/')) {
@@ -50,8 +50,8 @@
 }
 
 for (let number = 1; number <= Number(enginesText); number++) {
-  const gapMs = slowEach > 0 && number % slowEach === 0 ? EVENT_GAP_MS * SLOW_FACTOR : EVENT_GAP_MS
-  createServer((request, response) => answer(request, response, gapMs)).listen(FIRST_PORT + number, ip)
+  const gapMs = slowEngineInterval > 0 && number % slowEngineInterval === 0 ? EVENT_GAP_MS * SLOW_FACTOR : EVENT_GAP_MS
+  createServer((request, response) => handleRequest(request, response, gapMs)).listen(FIRST_PORT + number, ip)
 }
 process.stdout.write('listening\n')
 process.on('disconnect', () => process.exit(0))
--- a/bench/leader/followers.ts
+++ b/bench/leader/followers.ts
@@ -1,5 +1,5 @@
 /**
- * The followers of the leader that is measured: `followers.js IP COUNT FOLDER`.
+ * Runs the followers of the measured leader: `followers.js IP COUNT FOLDER`.
  */
 import { Scope } from '../../src/utils/scope.js'
 import { Supervisor } from '../../src/utils/supervisor.js'
--- a/bench/leader/leader.ts
+++ b/bench/leader/leader.ts
@@ -1,8 +1,8 @@
 /**
- * The leader that is measured: `leader.js IP REPLICAS ENGINES SECONDS FOLDER`.
- * Three trainers submit a step each four seconds. Prints a line of JSON a
- * second: its processor time, the longest time in which it answered nothing,
- * and the results listed so far.
+ * Runs the measured leader: `leader.js IP REPLICAS ENGINES SECONDS FOLDER`.
+ * Each of three trainers submits a step every four seconds. Prints a line of JSON
+ * a second: processor time, the longest event loop delay, and the number of
+ * results listed so far.
  */
 import { monitorEventLoopDelay } from 'node:perf_hooks'
 import { PlatformEndpointClient } from '../../platform/endpointClient.js'
@@ -30,8 +30,8 @@
 const ITEMS_COUNTS = [144, 112, 128]
 const TOKENS_PER_EVENT = 69
 const KEEP_MS = 120_000
-const LOOK_MS = 20
-/** Control hosts that each tell of every engine once in a heartbeat of theirs. */
+const POLL_MS = 20
+/** Control hosts, each of which reports every engine once per heartbeat interval. */
 const CONTROL_HOSTS_COUNT = 8
 const HEARTBEAT_MS = 1_200
 
@@ -39,7 +39,7 @@
 const scope = new Scope('leader')
 const supervisor = new Supervisor(scope, (_task, error) => { throw error })
 const { replica, state } = await startStoreReplica(membersOf(ip, Number(replicasText)), 0, folder, supervisor)
-while (!replica.leadership?.mayChangeMembers()) await sleepUntil(systemClock, scope, systemClock.nowMs() + LOOK_MS)
+while (!replica.leadership?.mayChangeMembers()) await sleepUntil(systemClock, scope, systemClock.nowMs() + POLL_MS)
 
 const engines = Array.from({ length: Number(enginesText) }, (_value, position) => {
   const weights = MODELS.map(model => ({ model, version: 1 }))
--- a/bench/leader/storeReplica.ts
+++ b/bench/leader/storeReplica.ts
@@ -1,5 +1,5 @@
 /**
- * A replica of the batch store on a loopback address, with a folder of its own.
+ * Starts a replica of the batch store on a loopback address, with its own folder.
  */
 import { join } from 'node:path'
 import { BatchState } from '../../src/batches/batchState.js'
@@ -35,11 +35,11 @@
   })
 }
 
-/** Followers wait this long for the first of the members to be elected. */
+/** Followers wait this long, so that the first member is elected. */
 const FOLLOWER_ELECTION_MIN_MS = 2_500
 const FOLLOWER_ELECTION_MAX_MS = 12_000
 
-/** @param position the first of the members stands for election at once, the others wait */
+/** @param position index in `members`; the first member starts an election at once, the others wait */
 export async function startStoreReplica (members: Member[], position: number, folder: string, supervisor: Supervisor): Promise<BenchStoreReplica> {
   const own = members[position] as Member
   const onFatal = (error: unknown): void => { throw error }
