--- a/bench/control.ts
+++ b/bench/control.ts
@@ -1,5 +1,5 @@
 /**
- * The control hosts: commits, what a fleet of entry hosts costs, how fast a
+ * The control hosts: commit rate, cost of a fleet of entry hosts, time until a
  * change is in force, failover, snapshots and restarts.
  */
 import type { BenchOptions, BenchResult } from './benchResult.js'
--- a/bench/control/commits.ts
+++ b/bench/control/commits.ts
@@ -1,7 +1,7 @@
 /**
- * Commits a second against the number of proposals under way, with and
- * without syncing: three replicas in this process, over TCP, with their logs
- * in a folder of the file system.
+ * Commits a second by number of proposals in flight, with and without syncing the
+ * log to disk: three replicas in this process, connected over TCP, with their logs
+ * in a temporary folder.
  */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -41,7 +41,7 @@
   throw error
 }
 
-/** Counts the writes of a log, to tell how many entries share one. */
+/** Counts the writes of a log, from which the entries per write follow. */
 function countingMetrics () {
   let batchesCount = 0
   const metrics = { ...memoryMetrics(), timing: () => { batchesCount++ } }
@@ -87,8 +87,8 @@
   return `127.${1 + process.pid % 250}.18.${number}:7100`
 }
 
-/** Keeps so many proposals under way for a while; commits a second and entries a write. */
-async function measure (leader: BenchReplica, underWayCount: number, durationMs: number, scope: Scope): Promise<{ perSecond: number, entriesPerWrite: number }> {
+/** Keeps `inFlightCount` proposals in flight for `durationMs`; returns commits a second and entries per write. */
+async function measure (leader: BenchReplica, inFlightCount: number, durationMs: number, scope: Scope): Promise<{ perSecond: number, entriesPerWrite: number }> {
   const endsAtMs = systemClock.nowMs() + durationMs
   const batchesBefore = leader.batchesCount()
   let committedCount = 0
@@ -99,7 +99,7 @@
       if (outcome.kind === 'committed') committedCount++
     }
   }
-  await Promise.all(Array.from({ length: underWayCount }, (_value, worker) => propose(worker)))
+  await Promise.all(Array.from({ length: inFlightCount }, (_value, worker) => propose(worker)))
   return {
     perSecond: committedCount / (durationMs / 1000),
     entriesPerWrite: committedCount / Math.max(1, leader.batchesCount() - batchesBefore)
@@ -113,10 +113,10 @@
     const folder = mkdtempSync(join(tmpdir(), 'threaddrum-bench-'))
     const replicas = await Promise.all([1, 2, 3].map(number => startReplica(number, folder, syncs, scope)))
     const leader = await until(async () => replicas.find(({ replica }) => replica.leadership?.mayChangeMembers()), 'a leader')
-    for (const underWayCount of [1, 8, 64, 512]) {
-      const { perSecond, entriesPerWrite } = await measure(leader, underWayCount, quick ? 500 : 3_000, scope)
-      const name = `control.commits.${syncs ? 'synced' : 'unsynced'}.${underWayCount}`
-      report(`${name}: ${Math.round(perSecond)} commits/s, ${entriesPerWrite.toFixed(1)} entries a write`)
+    for (const inFlightCount of [1, 8, 64, 512]) {
+      const { perSecond, entriesPerWrite } = await measure(leader, inFlightCount, quick ? 500 : 3_000, scope)
+      const name = `control.commits.${syncs ? 'synced' : 'unsynced'}.${inFlightCount}`
+      report(`${name}: ${Math.round(perSecond)} commits/s, ${entriesPerWrite.toFixed(1)} entries per write`)
       results.push({ name, value: Math.round(perSecond), unit: 'per_second', detail: { entriesPerWrite: Number(entriesPerWrite.toFixed(2)) } })
       results.push({ name: `${name}.writesPerEntry`, value: Number((1 / entriesPerWrite).toFixed(4)), unit: 'ratio' })
     }
--- a/bench/control/fleet.ts
+++ b/bench/control/fleet.ts
@@ -1,7 +1,7 @@
 /**
- * What entry hosts cost control, and control them: three control processes,
- * and 10 to 300 control clients in this one. Processor time and memory of the
- * leader come from /proc.
+ * The cost of entry hosts for the control hosts, and of the control hosts for
+ * entry hosts: three control processes, and 10 to 300 control clients in this
+ * process. Processor time and memory of the leader are read from /proc.
  */
 import { readFileSync } from 'node:fs'
 import { NetworkControlClient } from '../../src/controlClient/networkControlClient.js'
@@ -14,7 +14,7 @@
 import { ControlProcesses, until, type ControlProcess } from '../../tests/fixtures/controlProcesses.js'
 import { median, type BenchResult } from '../benchResult.js'
 
-/** Ticks of /proc/…/stat a second. */
+/** Clock ticks a second in /proc/…/stat. */
 const TICKS_PER_SECOND = 100
 
 interface Fleet {
@@ -41,7 +41,7 @@
   fleet.clients.push(client)
 }
 
-function processorSeconds (pid: number): number {
+function cpuSeconds (pid: number): number {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? []
   return (Number(fields[11]) + Number(fields[12])) / TICKS_PER_SECOND
 }
@@ -58,11 +58,11 @@
   leaderResidentMegabytes: number
 }
 
-/** Everything steady: no changes, only renewals of leases. */
+/** Measures the steady state: only lease renewals, no changes. */
 async function measureSteady (fleet: Fleet, leader: ControlProcess, durationMs: number): Promise<Reading> {
   const pid = leader.child?.pid ?? 0
   const before: TrafficCounts = { ...fleet.transport.counts }
-  const processorBefore = processorSeconds(pid)
+  const processorBefore = cpuSeconds(pid)
   const startedAtMs = systemClock.nowMs()
   await new Promise(resolve => setTimeout(resolve, durationMs))
   const seconds = (systemClock.nowMs() - startedAtMs) / 1000
@@ -73,12 +73,12 @@
     hostsCount,
     bytesPerHostSecond: per(after.sentBytes + after.receivedBytes - before.sentBytes - before.receivedBytes),
     messagesPerHostSecond: per(after.sentMessages + after.receivedMessages - before.sentMessages - before.receivedMessages),
-    leaderCorePercent: (processorSeconds(pid) - processorBefore) / seconds * 100,
+    leaderCorePercent: (cpuSeconds(pid) - processorBefore) / seconds * 100,
     leaderResidentMegabytes: residentMegabytes(pid)
   }
 }
 
-/** Changes one after the other: how long until each is in force on every host, and what it costs. */
+/** Makes sequential changes; measures the time until each is in force on every host, and the bytes received. */
 async function measureChanges (fleet: Fleet, changesCount: number): Promise<BenchResult[]> {
   const lastMs: number[] = []
   const medianMs: number[] = []
@@ -96,7 +96,7 @@
     const acceptedAtMs = systemClock.nowMs()
     await until(async () => inForceAtMs.length === hostsCount || undefined, 'in force everywhere')
     noticesBytes += fleet.transport.counts.receivedBytes - receivedBefore
-    // A push may overtake the answer to the operator.
+    // A push may arrive before the response to the operator.
     const delaysMs = inForceAtMs.map(atMs => Math.max(0, atMs - acceptedAtMs)).sort((left, right) => left - right)
     medianMs.push(delaysMs[Math.floor(hostsCount / 2)] ?? 0)
     lastMs.push(delaysMs.at(-1) ?? 0)
--- a/bench/control/restart.ts
+++ b/bench/control/restart.ts
@@ -1,6 +1,6 @@
 /**
- * What a snapshot and a restart cost over the number of changes: one replica's
- * storage and state, without peers.
+ * The cost of a snapshot and of a restart by number of changes: the storage and
+ * state of one replica, without peers.
  */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -16,7 +16,7 @@
 import { systemClock } from '../../src/utils/clock.js'
 import type { BenchResult } from '../benchResult.js'
 
-/** Resources that the changes go round. */
+/** Number of resources that the changes cycle through. */
 const RESOURCES_COUNT = 200
 const encoder = new Encoder({ useRecords: false })
 
@@ -32,7 +32,7 @@
   return checked.kind === 'valid' ? checked.command as ResourceCommand : command
 }
 
-async function timed<T> (work: () => Promise<T> | T): Promise<{ value: T, durationMs: number }> {
+async function measureTime<T> (work: () => Promise<T> | T): Promise<{ value: T, durationMs: number }> {
   const startedAtMs = systemClock.nowMs()
   const value = await work()
   return { value, durationMs: systemClock.nowMs() - startedAtMs }
@@ -53,20 +53,20 @@
     }
     await storage.append(entries.map(entry => ({ kind: 'entry', entry })))
     await storage.close()
-    const byLog = await timed(async () => {
+    const byLog = await measureTime(async () => {
       const { loaded, storage: reopened } = await open()
       const replayed = new ControlState(createLedgers)
       for (const entry of loaded.entries) replayed.apply(commandOf(entry.index), entry)
       return reopened
     })
     const head = { lastIndex: changesCount, lastTerm: 1, lastAtMs: changesCount, members: [] }
-    const taken = await timed(() => byLog.value.writeSnapshot(head, state.snapshot()))
+    const taken = await measureTime(() => byLog.value.writeSnapshot(head, state.snapshot()))
     const snapshot = taken.value
     if (!snapshot) throw new Error('another snapshot is being written')
     const { lengthBytes } = snapshot
-    const written = await timed(() => byLog.value.compact({ snapshot, hardState: { term: 1, votedFor: null }, entries: [] }))
+    const written = await measureTime(() => byLog.value.compact({ snapshot, hardState: { term: 1, votedFor: null }, entries: [] }))
     await byLog.value.close()
-    const bySnapshot = await timed(async () => {
+    const bySnapshot = await measureTime(async () => {
       const { loaded, storage: reopened } = await open()
       new ControlState(createLedgers).restore(loaded.snapshot?.pieces ?? [])
       await reopened.close()
