--- a/bench/soak/disturber.ts
+++ b/bench/soak/disturber.ts
@@ -1,13 +1,13 @@
 /**
  * Kills, stops and freezes processes of a running system at random, one at a
- * time, and brings each back. The first control host and the first entry host
- * are left alone, so that their memory can be followed from begin to end.
+ * time, and restarts or thaws each. The first control host and the first entry
+ * host are spared, so that their memory can be sampled for the entire run.
  */
 
 import type { ManagedProcess } from '../../demo/processGroup.js'
 import type { RandomSource } from '../../src/utils/randomSource.js'
 
-export interface Victim {
+export interface DisturbedProcess {
   process: ManagedProcess
   restart: () => ManagedProcess
   mayFreeze: boolean
@@ -23,19 +23,19 @@
 const MAX_PAUSE_MS = 7_000
 const MAX_DOWN_MS = 2_500
 const FREEZE_MS = 6_000
-/** Parts of a hundred. */
-const STOP_BELOW = 20
-const FREEZE_BELOW = 35
+/** Of a draw from 0 to 99: stops below the first, freezes between both, kills otherwise. */
+const STOP_PERCENTILE = 20
+const FREEZE_PERCENTILE = 35
 
 async function pause (durationMs: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, durationMs))
 }
 
-export class Disturber {
+export class FaultInjector {
   readonly disturbances: Disturbance[] = []
-  /** Processes that ended without being told to. */
-  readonly ownEnds: string[] = []
-  readonly victims = new Map<string, Victim>()
+  /** Processes that exited without having been stopped, or failed to stop cleanly. */
+  readonly unexpectedExits: string[] = []
+  readonly victims = new Map<string, DisturbedProcess>()
   private readonly _random: RandomSource
   private readonly _startMs = performance.now()
 
@@ -49,7 +49,7 @@
     return process
   }
 
-  /** Disturbs until the moment of the process clock. */
+  /** Injects faults until the given time of `performance.now()`. */
   async runUntil (endMs: number): Promise<void> {
     while (performance.now() < endMs) {
       await pause(this._random.int(MIN_PAUSE_MS, MAX_PAUSE_MS))
@@ -58,11 +58,11 @@
     }
   }
 
-  private async _disturb (victim: Victim): Promise<void> {
+  private async _disturb (victim: DisturbedProcess): Promise<void> {
     const { process, mayFreeze } = victim
-    if (process.end) this.ownEnds.push(`${process.name} ended with ${process.end.code ?? process.end.signal}`)
+    if (process.end) this.unexpectedExits.push(`${process.name} exited with ${process.end.code ?? process.end.signal}`)
     const draw = this._random.int(0, 99)
-    const what = draw < STOP_BELOW ? 'stopped' : draw < FREEZE_BELOW && mayFreeze ? 'frozen' : 'killed'
+    const what = draw < STOP_PERCENTILE ? 'stopped' : draw < FREEZE_PERCENTILE && mayFreeze ? 'frozen' : 'killed'
     this.disturbances.push({ atS: Math.round((performance.now() - this._startMs) / 1_000), name: process.name, what })
     if (what === 'frozen') {
       process.signal('SIGSTOP')
@@ -71,7 +71,7 @@
       return
     }
     const end = await process.stop(what === 'stopped' ? 'SIGTERM' : 'SIGKILL')
-    if (what === 'stopped' && end.code !== 0) this.ownEnds.push(`${process.name} ended its planned stop with ${end.code ?? end.signal}`)
+    if (what === 'stopped' && end.code !== 0) this.unexpectedExits.push(`${process.name} exited from a planned stop with ${end.code ?? end.signal}`)
     await pause(this._random.int(0, MAX_DOWN_MS))
     victim.process = victim.restart()
   }
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -1,8 +1,8 @@
 /**
  * `npm run soak -- [--minutes N] [--seed N] [--json FILE] [--html FILE]`: the
- * whole system as processes, callers and a trainer at work, and every few
- * seconds one process killed, stopped or frozen at random. At the end the
- * stand-ins' own records decide whether a promise was broken.
+ * entire system as processes under load from callers and a trainer, while every
+ * few seconds a random process is killed, stopped or frozen. At the end, the
+ * records of the stand-ins show whether an invariant was violated.
  */
 import { writeFileSync } from 'node:fs'
 import { join } from 'node:path'
@@ -19,7 +19,7 @@
 import { readRecordFile } from '../../standins/generationRecord.js'
 import { trainerRecordSchema } from '../../standins/recordSchemas.js'
 import { findFalseVersions } from '../../standins/versionCheck.js'
-import { Disturber } from './disturber.js'
+import { FaultInjector } from './disturber.js'
 import { MemorySamples, type MemoryTrend } from './memorySamples.js'
 
 const SAMPLES_PER_STEP = 18
@@ -27,15 +27,15 @@
 const SAMPLE_INTERVAL_MS = 5_000
 const LOAD_PER_SECOND = 25
 const MS_PER_MINUTE = 60_000
-const MANY_STEPS = 100_000
-const STEADY_HOSTS = ['control-1', 'entry-1']
+const MAX_STEPS_COUNT = 100_000
+const UNDISTURBED_HOSTS = ['control-1', 'entry-1']
 
 interface SoakReport {
   minutes: number
   seed: number
   load: Report
   trainer: { steps: number, samples: number, asksAgain: number, violations: string[], falseVersions: string[] }
-  disturbances: Disturber['disturbances']
+  disturbances: FaultInjector['disturbances']
   ownEnds: string[]
   memory: MemoryTrend[]
 }
@@ -49,64 +49,64 @@
 }
 
 class Soak {
-  private readonly _local: LocalSystem
-  private readonly _disturber: Disturber
+  private readonly _system: LocalSystem
+  private readonly _faultInjector: FaultInjector
   private readonly _memory = new MemorySamples()
   private readonly _minutes: number
   private readonly _seed: number
 
   constructor (local: LocalSystem, minutes: number, seed: number) {
-    this._local = local
+    this._system = local
     this._minutes = minutes
     this._seed = seed
-    this._disturber = new Disturber(seededRandom(seed))
+    this._faultInjector = new FaultInjector(seededRandom(seed))
   }
 
   async run (): Promise<SoakReport> {
-    const steady = await this._bringUp()
+    const undisturbed = await this._startUp()
     const endMs = performance.now() + this._minutes * MS_PER_MINUTE
     const sampling = setInterval(() => {
-      for (const process of steady) this._memory.take(process.name, process.pid)
+      for (const process of undisturbed) this._memory.take(process.name, process.pid)
     }, SAMPLE_INTERVAL_MS)
-    const [load] = await Promise.all([this._load(), this._disturber.runUntil(endMs)])
+    const [load] = await Promise.all([this._runLoad(), this._faultInjector.runUntil(endMs)])
     clearInterval(sampling)
     return {
       minutes: this._minutes,
       seed: this._seed,
       load,
-      trainer: await this._trainer(),
-      disturbances: this._disturber.disturbances,
-      ownEnds: this._ownEnds(steady),
+      trainer: await this._checkTrainer(),
+      disturbances: this._faultInjector.disturbances,
+      ownEnds: this._unexpectedExits(undisturbed),
       memory: this._memory.trends()
     }
   }
 
-  private async _bringUp () {
-    const local = this._local
-    const steady = [local.startControl(0), local.startEntry(0)]
-    for (const index of [1, 2]) this._disturber.add(() => local.startControl(index), true)
-    for (const index of [1, 2]) this._disturber.add(() => local.startEntry(index), false)
+  private async _startUp () {
+    const local = this._system
+    const undisturbed = [local.startControl(0), local.startEntry(0)]
+    for (const index of [1, 2]) this._faultInjector.add(() => local.startControl(index), true)
+    for (const index of [1, 2]) this._faultInjector.add(() => local.startEntry(index), false)
     await local.waitUntilReady()
-    steady.push(local.startWeightStore(), local.startService(), local.startScoring())
-    for (let index = 0; index < ENGINES; index++) this._disturber.add(() => local.startEngine(index, { recordFile: this._recordFile(index) }), false)
+    undisturbed.push(local.startWeightStore(), local.startService(), local.startScoring())
+    for (let index = 0; index < ENGINES; index++) this._faultInjector.add(() => local.startEngine(index, { recordFile: this._recordFile(index) }), false)
     local.localFile('examples/dutch-deck.txt')
     const command = local.startCommand(['apply', '--wait', local.localFile('examples/practice-hints.toml')])
     const { code } = await command.ended
     if (code !== 0) throw new Error(command.log())
-    local.startTrainer({ job: 'practice-hints', stepsCount: MANY_STEPS, samplesPerStepCount: SAMPLES_PER_STEP, stalenessBoundVersions: 1, maxSamplesPerPullCount: 6 })
-    return steady
+    local.startTrainer({ job: 'practice-hints', stepsCount: MAX_STEPS_COUNT, samplesPerStepCount: SAMPLES_PER_STEP, stalenessBoundVersions: 1, maxSamplesPerPullCount: 6 })
+    return undisturbed
   }
 
-  private async _load (): Promise<Report> {
+  private async _runLoad (): Promise<Report> {
     const experiment = experimentSchema.parse({
       name: `soak of ${this._minutes} minutes, seed ${this._seed}`,
       seed: this._seed,
       durationMs: this._minutes * MS_PER_MINUTE,
       dataCentre: 'hal-a',
-      entryHosts: this._local.entryAddresses,
+      entryHosts: this._system.entryAddresses,
       rate: { perSecond: LOAD_PER_SECOND },
       workloads: workloads(),
-      records: [{ pool: 'decks', url: `${this._local.serviceUrl}/record` }]
+      records: [{ pool: 'decks', url: `${this._system.serviceUrl}/record` }]
     })
     const onProgress = (line: string): void => { if (/^\d*0 s/.test(line)) process.stderr.write(`${line}\n`) }
     const run = new LoadRun(experiment, { clock: systemClock, scope: new Scope('soak'), pids: new Map(), send: () => {}, onProgress })
@@ -115,10 +115,10 @@
     return outcome.report
   }
 
-  private async _trainer (): Promise<SoakReport['trainer']> {
-    const record = await waitFor('the trainer\'s record', async () => trainerRecordSchema.safeParse(await getJson(`${this._local.trainerUrl}/record`)).data)
+  private async _checkTrainer (): Promise<SoakReport['trainer']> {
+    const record = await waitFor('the trainer\'s record', async () => trainerRecordSchema.safeParse(await getJson(`${this._system.trainerUrl}/record`)).data)
     const generations = Array.from({ length: ENGINES }, (_, index) => readRecordFile(this._recordFile(index))).flat()
-    const gaps = record.samples.flatMap(({ position }, index) => position === index + 1 ? [] : [`position ${position} in place ${index + 1}`])
+    const gaps = record.samples.flatMap(({ position }, index) => position === index + 1 ? [] : [`sample ${index + 1} has position ${position}`])
     return {
       steps: record.steps.length,
       samples: record.samples.length,
@@ -128,13 +128,13 @@
     }
   }
 
-  private _ownEnds (steady: ReturnType<LocalSystem['startControls']>): string[] {
-    const ended = steady.filter(({ end }) => end !== undefined).map(({ name, end }) => `${name} ended with ${end?.code ?? end?.signal}`)
-    return [...this._disturber.ownEnds, ...ended]
+  private _unexpectedExits (undisturbed: ReturnType<LocalSystem['startControls']>): string[] {
+    const ended = undisturbed.filter(({ end }) => end !== undefined).map(({ name, end }) => `${name} exited with ${end?.code ?? end?.signal}`)
+    return [...this._faultInjector.unexpectedExits, ...ended]
   }
 
   private _recordFile (index: number): string {
-    return join(this._local.folder, `engine-${index + 1}.record`)
+    return join(this._system.folder, `engine-${index + 1}.record`)
   }
 }
 
@@ -143,23 +143,23 @@
   const count = (what: string): number => disturbances.filter(one => one.what === what).length
   return [
     `${report.minutes} minutes, seed ${report.seed}: ${disturbances.length} disturbances (${count('killed')} killed, ${count('stopped')} stopped, ${count('frozen')} frozen)`,
-    `callers: sent ${all.sentCount}, whole ${all.wholeCount}, lost ${all.lostCount}, tries ${all.triesCount}, refused ${JSON.stringify(all.refusals)}`,
-    `broken invariants seen by callers: ${brokenCount} (${recordCheckedCount} requests checked against the service's record)`,
+    `callers: sent ${all.sentCount}, complete ${all.wholeCount}, lost ${all.lostCount}, attempts ${all.triesCount}, refused ${JSON.stringify(all.refusals)}`,
+    `invariant violations seen by callers: ${brokenCount} (${recordCheckedCount} requests checked against the service's record)`,
     ...report.load.broken.slice(0, 10).map(broken => `  ${JSON.stringify(broken)}`),
-    `trainer: ${trainer.steps} steps, ${trainer.samples} samples, asked again ${trainer.asksAgain} times, ${trainer.violations.length} violations, ${trainer.falseVersions.length} false versions`,
+    `trainer: ${trainer.steps} steps, ${trainer.samples} samples, ${trainer.asksAgain} repeated requests, ${trainer.violations.length} violations, ${trainer.falseVersions.length} wrong versions`,
     ...[...trainer.violations, ...trainer.falseVersions].slice(0, 10).map(line => `  ${line}`),
-    `processes that ended by themselves: ${ownEnds.length === 0 ? 'none' : ownEnds.join('; ')}`,
+    `processes that exited unexpectedly: ${ownEnds.length === 0 ? 'none' : ownEnds.join('; ')}`,
     ...memory.map(({ name, earlyBytes, lateBytes, growthPercent }) =>
-      `resident memory of ${name}: ${(earlyBytes / 1e6).toFixed(1)} MB early, ${(lateBytes / 1e6).toFixed(1)} MB late, ${growthPercent}%${STEADY_HOSTS.includes(name) ? '' : ' (stand-in)'}`)
+      `resident memory of ${name}: ${(earlyBytes / 1e6).toFixed(1)} MB early, ${(lateBytes / 1e6).toFixed(1)} MB late, ${growthPercent}%${UNDISTURBED_HOSTS.includes(name) ? '' : ' (stand-in)'}`)
   ]
 }
 
 async function main (): Promise<number> {
   const cli = cac('soak')
-  cli.option('--minutes <number>', 'how long', { default: 10 })
-  cli.option('--seed <number>', 'of load and disturbances', { default: 1 })
-  cli.option('--json <file>', 'write the report')
-  cli.option('--html <file>', 'write the callers\' side as a page')
+  cli.option('--minutes <number>', 'duration of the run', { default: 10 })
+  cli.option('--seed <number>', 'seed of load and faults', { default: 1 })
+  cli.option('--json <file>', 'write the report to a file')
+  cli.option('--html <file>', 'write the callers\' report as an HTML page')
   cli.help()
   const { options } = cli.parse()
   if (options.help) return 0
--- a/bench/soak/memorySamples.ts
+++ b/bench/soak/memorySamples.ts
@@ -1,5 +1,5 @@
 /**
- * Resident memory of processes over time, from /proc.
+ * Samples the resident memory of processes over time, from /proc.
  */
 import { readFileSync } from 'node:fs'
 import { medianOf } from '../slopes/slope.js'
@@ -10,7 +10,7 @@
 export interface MemoryTrend {
   name: string
   samplesCount: number
-  /** Medians of the second and of the last quarter; the first one is the start. */
+  /** Medians of the second and of the last quarter of the samples; the first quarter is warm-up. */
   earlyBytes: number
   lateBytes: number
   growthPercent: number
@@ -36,7 +36,7 @@
     this._byName.set(name, values)
   }
 
-  /** Of processes that ran long enough. */
+  /** Trends of the processes with enough samples. */
   trends (): MemoryTrend[] {
     return [...this._byName].filter(([, values]) => values.length >= MIN_SAMPLES).map(([name, values]) => {
       const quarter = Math.floor(values.length / 4)
