--- a/bench/batchMemory/main.ts
+++ b/bench/batchMemory/main.ts
@@ -1,9 +1,10 @@
 /**
- * `node --expose-gc dist/bench/batchMemory/main.js KIND`: memory that one kind
- * of object of the batch store's state takes, beside the bytes of its texts; for
- * the overheads of src/batches/heldBytes.ts. KIND `store` fills a whole state
- * with its log instead, and gives memory of the process per byte counted, for
- * platform/store.ts. One kind a process, as a heap that has grown stays so.
+ * `node --expose-gc dist/bench/batchMemory/main.js KIND`: measures the
+ * memory that one kind of object in the batch store's state takes beyond its
+ * content, for the overheads in src/batches/heldBytes.ts. KIND `store` fills an
+ * entire state with its log instead, and prints the counted bytes and the memory of
+ * the process, for platform/store.ts. One kind per process, as a heap does not
+ * shrink again.
  */
 import { randomBytes } from 'node:crypto'
 import { Decoder, Encoder } from 'cbor-x'
@@ -15,11 +16,11 @@
 const OBJECTS_COUNT = 20_000
 const ITEMS_COUNT = 190
 const PARTS_COUNT = 24
-/** Bytes of a body, and characters of the events of a part, as trainers' steps have them. */
+/** Bytes of a body, and random bytes behind the events of a part, typical of trainers' steps. */
 const BODY_BYTES = 600
 const EVENT_BYTES = 285
 const KEEP_MS = 120_000
-/** Payloads that the log of a store host keeps between two snapshots. */
+/** Bytes of payloads that the log of a store host retains between two snapshots. */
 const LOG_BYTES = 24 * 1024 * 1024
 const MAX_STORE_BATCHES_COUNT = 60
 const MB = 1024 * 1024
@@ -59,7 +60,7 @@
   return { itemId, state: ResultState.Completed, parts, versions: [1], score: '3e1b.07.5a2.600.c9f2a4d1' }
 }
 
-/** A state after so many batches, with what the log keeps of their commands. */
+/** The state after `batchesCount` batches, and the commands that the log retains. */
 function fillState (batchesCount: number, copyBuffers: boolean): { state: BatchState, log: Uint8Array[] } {
   const state = new BatchState()
   const decoder = decoderOf(copyBuffers)
@@ -98,7 +99,7 @@
   return { rssBytes: rss, objectsBytes: heapUsed + arrayBuffers }
 }
 
-/** Bytes and characters of all that a value holds. */
+/** Total bytes of the buffers and characters of the strings in a value. */
 function contentBytesOf (value: unknown): number {
   if (typeof value === 'string' || value instanceof Uint8Array) return value.length
   if (typeof value !== 'object' || value === null) return 0
--- a/bench/overhead/proxies.ts
+++ b/bench/overhead/proxies.ts
@@ -1,5 +1,5 @@
 /**
- * Starts and asks the processes that the overhead benchmark compares.
+ * Starts and queries the processes that the overhead benchmark compares.
  */
 import { fork, type ChildProcess } from 'node:child_process'
 import { once } from 'node:events'
--- a/bench/overhead/proxyMessages.ts
+++ b/bench/overhead/proxyMessages.ts
@@ -1,5 +1,5 @@
 /**
- * What the overhead benchmark and its processes tell each other.
+ * IPC messages between the overhead benchmark and its processes.
  */
 export enum ProxyKind {
   Entry = 'entry',
--- a/bench/overhead/proxyProcess.ts
+++ b/bench/overhead/proxyProcess.ts
@@ -1,7 +1,7 @@
 /**
- * One side of the overhead benchmark as a process of its own, so that its
- * processor time is its own: an entry host, or a bare pass-through from
- * node:http to undici. Told over IPC what to do.
+ * One side of the overhead benchmark in a separate process, so that its processor
+ * time can be measured separately: an entry host, or a bare pass-through from
+ * node:http to undici. Receives its commands over IPC.
  */
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
