--- a/bench/slopes/announcers.ts
+++ b/bench/slopes/announcers.ts
@@ -1,6 +1,6 @@
 /**
- * In a child: endpoints that only announce themselves, each to three hosts
- * and with another load every time.
+ * Endpoints, run in a child process, that only announce themselves, each to three
+ * hosts and with a different load every time.
  */
 import { Agent, request } from 'undici'
 import { callerPaths } from '../../src/protocol/callers.js'
@@ -11,7 +11,7 @@
 
 const ANNOUNCE_TO_COUNT = 3
 
-export interface AnnouncerOrder {
+export interface AnnouncerOptions {
   endpointsCount: number
   intervalMs: number
   dataCentre: string
@@ -19,7 +19,7 @@
   hosts: string[]
 }
 
-export function announceAll ({ endpointsCount, intervalMs, dataCentre, hosts }: AnnouncerOrder): void {
+export function announceAll ({ endpointsCount, intervalMs, dataCentre, hosts }: AnnouncerOptions): void {
   const agent = new Agent({ connections: 1 })
   const random = seededRandom(1)
   const incarnation = Date.now()
--- a/bench/slopes/child.ts
+++ b/bench/slopes/child.ts
@@ -1,13 +1,13 @@
 /**
- * The processes that slopes need besides their own: `child.js KIND SIZE …`
- * sends its reading to its parent.
+ * Entry point of the child processes of slope measurements: `child.js KIND SIZE …`,
+ * or `child.js KIND OPTIONS` with the options as JSON. Sends readings to its parent.
  */
-import { announceAll, type AnnouncerOrder } from './announcers.js'
-import { runControl, type ControlOrder } from './controlHosts.js'
+import { announceAll, type AnnouncerOptions } from './announcers.js'
+import { runControl, type ControlHostOptions } from './controlHosts.js'
 import { openConnections, serveConnections } from './connections.js'
 import { runEntry } from './entryHost.js'
-import { runFleetControl, type FleetControlOrder } from './fleetFollowers.js'
-import { runEndpoint, type EndpointOrder } from './paceEndpoint.js'
+import { runFleetControl, type FleetControlOptions } from './fleetFollowers.js'
+import { runPacedEndpoint, type PacedEndpointOptions } from './paceEndpoint.js'
 
 const [kind = '', size = '0', argument = ''] = process.argv.slice(2)
 
@@ -22,19 +22,19 @@
     await openConnections(Number(size), argument)
     break
   case 'announce':
-    announceAll(JSON.parse(size) as AnnouncerOrder)
+    announceAll(JSON.parse(size) as AnnouncerOptions)
     break
   case 'control':
-    await runControl(JSON.parse(size) as ControlOrder)
+    await runControl(JSON.parse(size) as ControlHostOptions)
     break
   case 'fleetControl':
-    await runFleetControl(JSON.parse(size) as FleetControlOrder)
+    await runFleetControl(JSON.parse(size) as FleetControlOptions)
     break
   case 'entry':
     await runEntry()
     break
   case 'endpoint':
-    await runEndpoint(JSON.parse(size) as EndpointOrder)
+    await runPacedEndpoint(JSON.parse(size) as PacedEndpointOptions)
     break
   default:
     throw new Error(`unknown kind ${kind}`)
--- a/bench/slopes/childProcess.ts
+++ b/bench/slopes/childProcess.ts
@@ -1,19 +1,19 @@
 /**
- * Processes that slopes measure: started from `child.js KIND ARGUMENT`, they
- * say when they are ready, and answer questions with their own counters.
+ * Processes that slopes measure: started as `child.js KIND ARGUMENT`, they report
+ * when they are ready, and respond to usage queries with their own counters.
  */
 import { fork, type ChildProcess } from 'node:child_process'
 import { once } from 'node:events'
 import { fileURLToPath } from 'node:url'
 import { liveBytes } from './ownProcess.js'
 
-/** What a process has used since its start. */
+/** Resource usage of a process since its start. */
 export interface Usage {
   processorUs: number
-  /** Sent and received by its framed connections. */
+  /** Bytes sent and received over its framed connections. */
   frameBytes: number
   frameMessages: number
-  /** Alive after a collection; read only when asked for. */
+  /** Live memory after garbage collection, which each usage query runs. */
   liveBytes: number
   residentBytes: number
 }
@@ -22,7 +22,7 @@
   counts?: { sentBytes: number, receivedBytes: number, sentMessages: number, receivedMessages: number }
 }
 
-/** In the child: says it is ready with a value, and answers questions until its parent goes. */
+/** Called in the child: sends `ready` to the parent, then responds to usage queries. */
 export function serveUsage (ready: unknown, { counts }: UsageSources): void {
   process.on('message', () => {
     const { user, system } = process.cpuUsage()
@@ -39,7 +39,7 @@
 }
 
 export class MeasuredProcess {
-  /** What the child said when it was ready. */
+  /** The value that the child sent when it was ready. */
   readonly ready: unknown
   private readonly _child: ChildProcess
 
@@ -68,7 +68,7 @@
   }
 }
 
-/** What was used between two readings, per second. */
+/** Usage between two readings, per second. */
 export function usagePerSecond (before: Usage, after: Usage, elapsedMs: number): Omit<Usage, 'liveBytes' | 'residentBytes'> {
   const perSecond = (key: 'processorUs' | 'frameBytes' | 'frameMessages'): number => (after[key] - before[key]) * 1_000 / elapsedMs
   return { processorUs: perSecond('processorUs'), frameBytes: perSecond('frameBytes'), frameMessages: perSecond('frameMessages') }
--- a/bench/slopes/commits.ts
+++ b/bench/slopes/commits.ts
@@ -1,7 +1,7 @@
 /**
- * What commands of the log cost the leader and a follower: three control hosts
- * of their own processes with their logs on disk, and unrepeatable requests
- * that are started at an even rate from one client each.
+ * The cost of log commands for the leader and a follower: three control hosts in
+ * separate processes with their logs on disk, and unrepeatable requests that are
+ * started at a constant rate, spread over the clients.
  */
 import { UnrepeatableCommandKind } from '../../src/protocol/unrepeatableCommands.js'
 import { ControlFleet } from './controlHosts.js'
@@ -14,22 +14,22 @@
 const WINDOW_MS = 6_000
 const TICK_MS = 10
 
-/** Sends commands at an even rate; gives the time of each until it was committed. */
+/** Sends commands at a constant rate; returns the time until the commit of each, in milliseconds. */
 async function submitEvenly (fleet: ControlFleet, perSecond: number, durationMs: number, label: string): Promise<number[]> {
-  const tookMs: number[] = []
+  const durationsMs: number[] = []
   const running: Array<Promise<void>> = []
   const startMs = performance.now()
   let sentCount = 0
   while (performance.now() - startMs < durationMs) {
     const dueCount = Math.min(Math.floor((performance.now() - startMs) * perSecond / 1_000), perSecond * durationMs / 1_000)
-    while (sentCount < dueCount) running.push(submitOne(fleet, sentCount++, label, tookMs))
+    while (sentCount < dueCount) running.push(submitOne(fleet, sentCount++, label, durationsMs))
     await new Promise(resolve => setTimeout(resolve, TICK_MS))
   }
   await Promise.all(running)
-  return tookMs
+  return durationsMs
 }
 
-async function submitOne (fleet: ControlFleet, number: number, label: string, tookMs: number[]): Promise<void> {
+async function submitOne (fleet: ControlFleet, number: number, label: string, durationsMs: number[]): Promise<void> {
   const client = fleet.clients[number % CLIENTS]!
   const startMs = performance.now()
   const outcome = await client.submit({
@@ -42,7 +42,7 @@
     hostId: 'entry-1'
   }, fleet.progress())
   if (outcome.kind !== 'committed' || outcome.result.kind !== 'started') throw new Error(JSON.stringify(outcome))
-  tookMs.push(performance.now() - startMs)
+  durationsMs.push(performance.now() - startMs)
 }
 
 async function usages (fleet: ControlFleet): Promise<Usage[]> {
@@ -54,14 +54,14 @@
   await submitEvenly(fleet, perSecond, WARM_UP_MS, 'warm')
   const before = await usages(fleet)
   const startMs = performance.now()
-  const tookMs = await submitEvenly(fleet, perSecond, WINDOW_MS, 'read')
+  const durationsMs = await submitEvenly(fleet, perSecond, WINDOW_MS, 'read')
   const elapsedMs = performance.now() - startMs
   const after = await usages(fleet)
   await fleet.stop()
   const used = after.map((usage, index) => usagePerSecond(before[index]!, usage, elapsedMs)).sort((a, b) => b.frameBytes - a.frameBytes)
   const [leader, ...followers] = used
   const [leaderLive] = after.map(({ liveBytes }) => liveBytes)
-  return [leader!.processorUs, leader!.frameBytes, medianOf(followers.map(({ processorUs }) => processorUs)), medianOf(followers.map(({ frameBytes }) => frameBytes)), medianOf(tookMs), leaderLive!]
+  return [leader!.processorUs, leader!.frameBytes, medianOf(followers.map(({ processorUs }) => processorUs)), medianOf(followers.map(({ frameBytes }) => frameBytes)), medianOf(durationsMs), leaderLive!]
 }
 
 export const commitSlopes: SlopeMeasurement[] = [{
--- a/bench/slopes/connections.ts
+++ b/bench/slopes/connections.ts
@@ -1,6 +1,6 @@
 /**
- * What open connections between processes cost the side that accepts them:
- * memory of an idle one, and processor time of one message to all of them.
+ * The cost of open connections between processes for the accepting side: memory
+ * of an idle connection, and processor time of one message to all connections.
  */
 import { once } from 'node:events'
 import { fork, type ChildProcess } from 'node:child_process'
@@ -12,7 +12,7 @@
 import type { SlopeMeasurement } from './slope.js'
 
 const MESSAGES_PER_READING = 200
-/** About what one change of a resource takes. */
+/** About the size of one resource change. */
 const MESSAGE_TEXT = 'x'.repeat(300)
 const SETTLE_MS = 300
 
@@ -21,7 +21,7 @@
   FanOut = 'fan-out'
 }
 
-/** In a child: accepts connections and reads. */
+/** Called in a child process: accepts `size` connections and takes the reading. */
 export async function serveConnections (mode: string, size: number): Promise<number> {
   const scope = new Scope('server')
   const accepted: Connection[] = []
@@ -49,7 +49,7 @@
   return usedUs / MESSAGES_PER_READING
 }
 
-/** In a child of that child: opens connections and keeps them. */
+/** Called in a child of that process: opens connections and keeps them open. */
 export async function openConnections (size: number, address: string): Promise<void> {
   const scope = new Scope('clients')
   const transport = new TcpTransport()
--- a/bench/slopes/controlHosts.ts
+++ b/bench/slopes/controlHosts.ts
@@ -1,6 +1,6 @@
 /**
- * What control costs: a control host of its own process with its log on disk,
- * and as many real clients of entry hosts as the size says, in this process.
+ * The cost of control: a control host in a separate process with its log on disk,
+ * and `size` real control clients of entry hosts in this process.
  */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -29,14 +29,14 @@
 const HANG_GUARD_MS = 60_000
 const CHANGES = 20
 
-export interface ControlOrder {
+export interface ControlHostOptions {
   number: number
   membersCount: number
   dataFolder: string
 }
 
-/** In a child: a control host of the product, as its binary starts it. */
-export async function runControl ({ number, membersCount, dataFolder }: ControlOrder): Promise<void> {
+/** Called in a child process: starts a control host as the product's binary does. */
+export async function runControl ({ number, membersCount, dataFolder }: ControlHostOptions): Promise<void> {
   const addressOf = (member: number, port: number): string => `127.0.73.${member}:${port}`
   const members = Array.from({ length: membersCount }, (_, index) => index + 1)
   const program = await ControlProgram.start({
@@ -71,18 +71,18 @@
   static async start (controlsCount: number, clientsCount: number): Promise<ControlFleet> {
     const fleet = new ControlFleet()
     for (let number = 1; number <= controlsCount; number++) {
-      const order: ControlOrder = { number, membersCount: controlsCount, dataFolder: join(fleet._folder, String(number)) }
-      fleet.hosts.push(await MeasuredProcess.start('control', order))
+      const options: ControlHostOptions = { number, membersCount: controlsCount, dataFolder: join(fleet._folder, String(number)) }
+      fleet.hosts.push(await MeasuredProcess.start('control', options))
     }
     for (let client = 1; client <= clientsCount; client++) fleet._addClient(client, controlsCount)
-    await fleet.until(() => fleet.clients.every(client => client.holdsLease()))
+    await fleet.waitUntil(() => fleet.clients.every(client => client.holdsLease()))
     return fleet
   }
 
-  async until (condition: () => boolean): Promise<void> {
+  async waitUntil (condition: () => boolean): Promise<void> {
     const deadlineMs = systemClock.nowMs() + HANG_GUARD_MS
     while (!condition()) {
-      if (systemClock.nowMs() > deadlineMs) throw new Error('the fleet did not come up')
+      if (systemClock.nowMs() > deadlineMs) throw new Error(`the fleet was not ready within ${HANG_GUARD_MS} ms`)
       await pause(20)
     }
   }
@@ -97,7 +97,7 @@
     rmSync(this._folder, { recursive: true, force: true })
   }
 
-  /** Changes a pool as an operator would. */
+  /** Changes a pool as an operator would; returns the revision. */
   async change (number: number): Promise<number> {
     const outcome = await this.clients[0]!.submit({
       kind: ResourceCommandKind.Apply,
@@ -126,8 +126,8 @@
   }
 }
 
-/** Leases only: nothing changes. */
-async function readSteady (clientsCount: number): Promise<number[]> {
+/** Measures lease renewals only, without changes. */
+async function readSteadyState (clientsCount: number): Promise<number[]> {
   const fleet = await ControlFleet.start(1, clientsCount)
   await pause(SETTLE_MS)
   const control = fleet.hosts[0]!
@@ -145,7 +145,7 @@
   return [used.processorUs, used.frameBytes, after.liveBytes, (clientUsed.user + clientUsed.system) / clientSeconds, clientBytes / clientSeconds]
 }
 
-/** From the accepted change to in force on the last client. */
+/** Measures sequential changes, each from its acceptance until it is in force on the last client. */
 async function readChanges (clientsCount: number): Promise<number[]> {
   const fleet = await ControlFleet.start(1, clientsCount)
   await pause(SETTLE_MS)
@@ -183,7 +183,7 @@
     sizeUnit: 'entry hosts',
     sizes: [50, 100, 200, 400],
     repeats: 2,
-    read: readSteady
+    read: readSteadyState
   },
   {
     metrics: [
--- a/bench/slopes/directory.ts
+++ b/bench/slopes/directory.ts
@@ -1,23 +1,23 @@
 /**
- * What the directory costs entry hosts, over real connections: hosts that say
- * how they are, and endpoints whose load changes with every announcement. The
- * hosts share one process, so processor time is that of all hosts over their
- * number; the endpoints stand in another one.
+ * The cost of the directory for entry hosts, over real connections: hosts that
+ * report their state, and endpoints whose load changes with every announcement. The
+ * hosts share one process, so its processor time is divided by their number; the
+ * endpoints run in another process.
  */
 import { TcpTransport } from '../../src/transport/tcpTransport.js'
 import { EntryCluster } from '../../tests/fixtures/entryCluster.js'
 import { MeasuredProcess } from './childProcess.js'
-import type { AnnouncerOrder } from './announcers.js'
+import type { AnnouncerOptions } from './announcers.js'
 import type { SlopeMeasurement } from './slope.js'
 
 const SETTLE_MS = 4_000
 const WINDOW_MS = 6_000
 const DATA_CENTRE = 'ubungo'
 const HOSTS_FOR_ENDPOINTS = 6
-/** A second arrangement, which tells what following costs from what announcements cost. */
+/** A second setup, to separate the cost of following other hosts from that of announcements. */
 const MANY_HOSTS_FOR_ENDPOINTS = 18
 const ENDPOINT_INTERVAL_MS = 1_000
-/** The product's own defaults; the fixture's are shorter. */
+/** The product's defaults, as the fixture's are shorter. */
 const leases = { adviceValidMs: 5_000, hostLeaseMs: 6_000, endpointLeaseMs: 10_000 }
 
 interface FleetReading {
@@ -30,7 +30,7 @@
   await new Promise(resolve => setTimeout(resolve, durationMs))
 }
 
-function sumOf (transports: TcpTransport[]): { bytes: number, messages: number } {
+function totalTraffic (transports: TcpTransport[]): { bytes: number, messages: number } {
   const sum = (read: (counts: TcpTransport['counts']) => number): number => transports.reduce((total, { counts }) => total + read(counts), 0)
   return {
     bytes: sum(counts => counts.sentBytes + counts.receivedBytes),
@@ -41,18 +41,18 @@
 async function readFleet (hostsCount: number, endpointsCount: number): Promise<FleetReading> {
   const cluster = new EntryCluster()
   for (let host = 0; host < hostsCount; host++) await cluster.start(DATA_CENTRE, leases)
-  const order: AnnouncerOrder = {
+  const options: AnnouncerOptions = {
     endpointsCount,
     intervalMs: ENDPOINT_INTERVAL_MS,
     dataCentre: DATA_CENTRE,
     hosts: cluster.hosts.map(({ settings }) => settings.host.callerAddress)
   }
-  const endpoints = endpointsCount > 0 ? await MeasuredProcess.start('announce', order) : undefined
+  const endpoints = endpointsCount > 0 ? await MeasuredProcess.start('announce', options) : undefined
   await pause(SETTLE_MS)
   const transports = cluster.hosts.map(({ transport }) => transport)
-  const before = { ...sumOf(transports), processor: process.cpuUsage(), atMs: performance.now() }
+  const before = { ...totalTraffic(transports), processor: process.cpuUsage(), atMs: performance.now() }
   await pause(WINDOW_MS)
-  const after = sumOf(transports)
+  const after = totalTraffic(transports)
   const used = process.cpuUsage(before.processor)
   const hostSeconds = hostsCount * (performance.now() - before.atMs) / 1_000
   await endpoints?.stop()
@@ -64,7 +64,7 @@
   }
 }
 
-function inOrder ({ bytesPerSecond, messagesPerSecond, processorUsPerSecond }: FleetReading): number[] {
+function valuesOf ({ bytesPerSecond, messagesPerSecond, processorUsPerSecond }: FleetReading): number[] {
   return [bytesPerSecond, messagesPerSecond, processorUsPerSecond]
 }
 
@@ -78,7 +78,7 @@
     sizeUnit: 'entry hosts of a data centre',
     sizes: [4, 8, 16, 32],
     repeats: 2,
-    read: async size => inOrder(await readFleet(size, 0))
+    read: async size => valuesOf(await readFleet(size, 0))
   },
   {
     metrics: [
@@ -89,7 +89,7 @@
     sizeUnit: 'endpoints',
     sizes: [25, 50, 100, 200],
     repeats: 2,
-    read: async size => inOrder(await readFleet(HOSTS_FOR_ENDPOINTS, size))
+    read: async size => valuesOf(await readFleet(HOSTS_FOR_ENDPOINTS, size))
   },
   {
     metrics: [
--- a/bench/slopes/entryHost.ts
+++ b/bench/slopes/entryHost.ts
@@ -1,7 +1,7 @@
 /**
- * What callers' work costs an entry host: the real entry program in a process
- * of its own (control in memory), endpoints in another, and the load tool's
- * callers here.
+ * The cost of requests for an entry host: the real entry program in a separate
+ * process (with control in memory), endpoints in another one, and the callers of
+ * the load tool in this process.
  */
 import { experimentSchema } from '../../src/load/experiment.js'
 import { LoadRun } from '../../src/load/loadRun.js'
@@ -11,7 +11,7 @@
 import { EntryCluster } from '../../tests/fixtures/entryCluster.js'
 import { until } from '../../tests/fixtures/until.js'
 import { MeasuredProcess, serveUsage, usagePerSecond } from './childProcess.js'
-import { MAX_CONCURRENT, type EndpointOrder } from './paceEndpoint.js'
+import { MAX_CONCURRENT, type PacedEndpointOptions } from './paceEndpoint.js'
 import type { SlopeMeasurement } from './slope.js'
 
 const TOKENS_PER_REQUEST = 100
@@ -21,7 +21,7 @@
 const DATA_CENTRE = 'ubungo'
 const leases = { adviceValidMs: 5_000, hostLeaseMs: 6_000, endpointLeaseMs: 10_000 }
 
-/** In a child: an entry host that takes work as soon as it knows an endpoint. */
+/** Called in a child process: starts an entry host, which accepts work once it knows an endpoint. */
 export async function runEntry (): Promise<void> {
   const cluster = new EntryCluster()
   const pool = { endpointKind: EndpointKind.Engine, model: 'practice-lm', maxConcurrentCount: MAX_CONCURRENT }
@@ -30,17 +30,17 @@
   serveUsage(host.settings.host.callerAddress, { counts: host.transport.counts })
 }
 
-interface Site {
+interface TestSite {
   entry: MeasuredProcess
   endpoint: MeasuredProcess
   address: string
 }
 
-async function startSite (tokenIntervalMs: number, pool: EndpointOrder['pool']): Promise<Site> {
+async function startTestSite (tokenIntervalMs: number, pool: PacedEndpointOptions['pool']): Promise<TestSite> {
   const entry = await MeasuredProcess.start('entry', null)
   const address = String(entry.ready)
-  const order: EndpointOrder = { entryAddress: address, pool, dataCentre: DATA_CENTRE, tokensCount: TOKENS_PER_REQUEST, tokenIntervalMs }
-  const endpoint = await MeasuredProcess.start('endpoint', order)
+  const options: PacedEndpointOptions = { entryAddress: address, pool, dataCentre: DATA_CENTRE, tokensCount: TOKENS_PER_REQUEST, tokenIntervalMs }
+  const endpoint = await MeasuredProcess.start('endpoint', options)
   await until(async () => {
     const answer = await fetch(`http://${address}/v1/advice?dataCentre=${DATA_CENTRE}&caller=load`)
     return (await answer.json() as { hosts: string[] }).hosts.length > 0
@@ -48,7 +48,7 @@
   return { entry, endpoint, address }
 }
 
-async function load (address: string, perSecond: number, durationMs: number, workload: object): Promise<void> {
+async function runLoad (address: string, perSecond: number, durationMs: number, workload: object): Promise<void> {
   const experiment = experimentSchema.parse({
     name: 'slope',
     durationMs,
@@ -61,26 +61,26 @@
   const outcome = await run.run()
   if (outcome.kind !== 'report') throw new Error(outcome.reason)
   const { all, brokenCount } = outcome.report
-  if (brokenCount > 0 || all.wholeCount < all.sentCount) throw new Error(`${all.wholeCount} of ${all.sentCount} whole: ${JSON.stringify(all.refusals)}`)
+  if (brokenCount > 0 || all.wholeCount < all.sentCount) throw new Error(`${all.wholeCount} of ${all.sentCount} requests completed: ${JSON.stringify(all.refusals)}`)
 }
 
 /** Processor time a second of the entry host under a steady load. */
-async function readLoad (perSecond: number, pool: EndpointOrder['pool'], workload: object): Promise<number[]> {
-  const { entry, endpoint, address } = await startSite(TOKEN_INTERVAL_MS, pool)
-  await load(address, perSecond, WARM_UP_MS, workload)
+async function readLoad (perSecond: number, pool: PacedEndpointOptions['pool'], workload: object): Promise<number[]> {
+  const { entry, endpoint, address } = await startTestSite(TOKEN_INTERVAL_MS, pool)
+  await runLoad(address, perSecond, WARM_UP_MS, workload)
   const before = await entry.usage()
   const startMs = systemClock.nowMs()
-  await load(address, perSecond, WINDOW_MS, workload)
+  await runLoad(address, perSecond, WINDOW_MS, workload)
   const elapsedMs = systemClock.nowMs() - startMs
   const after = await entry.usage()
   await Promise.all([entry.stop(), endpoint.stop()])
-  // The load lasts its window; answers that are still under way end a little later.
+  // Load is sent during the window only; responses still in flight end a little later.
   return [usagePerSecond(before, after, elapsedMs).processorUs * elapsedMs / WINDOW_MS]
 }
 
-/** Live memory of the entry host with streams that stay open. */
+/** Growth of the live memory of the entry host with streams that stay open. */
 async function readOpenStreams (streamsCount: number): Promise<number[]> {
-  const { entry, endpoint, address } = await startSite(60_000, 'lm')
+  const { entry, endpoint, address } = await startTestSite(60_000, 'lm')
   const before = await entry.usage()
   const scope = new Scope('streams')
   const bodies = Array.from({ length: streamsCount }, async (_, index) => {
--- a/bench/slopes/fleetEndpoints.ts
+++ b/bench/slopes/fleetEndpoints.ts
@@ -1,20 +1,20 @@
 /**
- * Endpoints of the users' platform, as one control host hears them: each keeps
- * to one control host, repeats its heartbeat, and loads new weights every few
- * seconds.
+ * Endpoints of the users' platform, as seen by one control host: each announces
+ * itself to one control host, repeats its heartbeat, and loads new weights every
+ * few seconds.
  */
 import type { ControlProgram } from '../../src/control/controlProgram.js'
 import { EndpointLifecycle, type FleetEndpoint } from '../../src/protocol/fleet.js'
 
 export const HEARTBEAT_MS = 1_200
-/** A new version about every four seconds, as trainers name them. */
+/** A new weight version about every four seconds, as often as trainers announce one. */
 const HEARTBEATS_PER_VERSION = 3
 
 export interface AnnouncedShare {
-  /** The control host, from 1. */
+  /** Number of the control host, from 1. */
   number: number
   membersCount: number
-  /** Of all control hosts together. */
+  /** Number of endpoints of all control hosts together. */
   endpointsCount: number
 }
 
@@ -34,7 +34,7 @@
   }
 }
 
-/** Heartbeats of the endpoints that keep to this control host, spread evenly over the interval. */
+/** Starts the heartbeats of the endpoints of this control host, spread evenly over the interval. */
 export function announceFleetEndpoints (program: ControlProgram, { number, membersCount, endpointsCount }: AnnouncedShare): void {
   for (let endpoint = number; endpoint <= endpointsCount; endpoint += membersCount) {
     let sequence = 0
--- a/bench/slopes/fleetFollowers.ts
+++ b/bench/slopes/fleetFollowers.ts
@@ -1,7 +1,7 @@
 /**
- * What the users' platform spends on knowing who is there: control hosts of
- * their own processes with their logs on disk and endpoints that announce
- * themselves, and as many real followers as the size says, in this process.
+ * The cost of membership information on the users' platform: control hosts in
+ * separate processes, with their logs on disk and endpoints that announce
+ * themselves, and real followers in this process; `size` counts followers or endpoints.
  */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -30,7 +30,7 @@
 const HOSTS_FOR_ENDPOINTS = 50
 const STRIKE_SILENT_AFTER_MS = 8_000
 
-export interface FleetControlOrder {
+export interface FleetControlOptions {
   number: number
   membersCount: number
   endpointsCount: number
@@ -41,9 +41,9 @@
   return `127.0.74.${member}:${port}`
 }
 
-/** In a child: a control host of the users' platform, to which its share of the endpoints announce themselves. */
-export async function runFleetControl (order: FleetControlOrder): Promise<void> {
-  const { number, membersCount, dataFolder } = order
+/** Called in a child process: starts a control host of the users' platform, to which its share of the endpoints announce themselves. */
+export async function runFleetControl (options: FleetControlOptions): Promise<void> {
+  const { number, membersCount, dataFolder } = options
   const members = Array.from({ length: membersCount }, (_, index) => index + 1)
   const program = await ControlProgram.start({
     settings: {
@@ -57,7 +57,7 @@
     onFatal: fail,
     fleet: { heartbeatMs: HEARTBEAT_MS, mayForm: true, strikeSilentAfterMs: STRIKE_SILENT_AFTER_MS, toleratedLosses: 1 }
   })
-  announceFleetEndpoints(program, order)
+  announceFleetEndpoints(program, options)
   serveUsage(null, { counts: program.transport.counts })
 }
 
@@ -78,19 +78,19 @@
 
   async start (hostsCount: number, endpointsCount: number): Promise<void> {
     for (let number = 1; number <= CONTROLS; number++) {
-      const order: FleetControlOrder = { number, membersCount: CONTROLS, endpointsCount, dataFolder: join(this._folder, String(number)) }
-      this.controls.push(await MeasuredProcess.start('fleetControl', order))
+      const options: FleetControlOptions = { number, membersCount: CONTROLS, endpointsCount, dataFolder: join(this._folder, String(number)) }
+      this.controls.push(await MeasuredProcess.start('fleetControl', options))
     }
     await pause(SETTLE_MS)
     for (let number = 1; number <= hostsCount; number++) this._addFollower(number)
   }
 
-  /** Until every host knows of all others and of all endpoints. */
-  async untilAllKnown (hostsCount: number, endpointsCount: number): Promise<void> {
+  /** Waits until every host knows all other hosts and all endpoints. */
+  async waitUntilAllKnown (hostsCount: number, endpointsCount: number): Promise<void> {
     const deadlineMs = systemClock.nowMs() + HANG_GUARD_MS
     const knowsAll = (view: FleetView): boolean => view.hosts(HostRole.Entry).length >= hostsCount && view.ready().length >= endpointsCount
     while (!this._views.every(knowsAll)) {
-      if (systemClock.nowMs() > deadlineMs) throw new Error('the fleet did not come up')
+      if (systemClock.nowMs() > deadlineMs) throw new Error(`not every host knew the entire fleet within ${HANG_GUARD_MS} ms`)
       await pause(50)
     }
   }
@@ -126,13 +126,13 @@
   return usages.reduce((sum, usage) => sum + read(usage), 0) / usages.length
 }
 
-/** The start of all hosts at one moment, and a window in which nothing changes but what endpoints hold. */
+/** Measures a simultaneous start of all hosts, then a window in which only the weights of endpoints change. */
 async function readFleet (hostsCount: number, endpointsCount: number): Promise<number[]> {
   const fleet = new FollowerFleet()
   await fleet.start(hostsCount, endpointsCount)
   const startedAtMs = systemClock.nowMs()
   const atStart = await fleet.usages()
-  await fleet.untilAllKnown(hostsCount, endpointsCount)
+  await fleet.waitUntilAllKnown(hostsCount, endpointsCount)
   const knownAfterMs = systemClock.nowMs() - startedAtMs
   const atKnown = await fleet.usages()
   await pause(SETTLE_MS)
--- a/bench/slopes/knownEndpoints.ts
+++ b/bench/slopes/knownEndpoints.ts
@@ -1,9 +1,9 @@
 /**
- * What endpoints cost the host that they announce to: one entry host in a
- * process of its own, and endpoints that announce themselves to it.
+ * The cost of endpoints for the host that they announce themselves to: one entry
+ * host in a separate process, and endpoints that announce themselves to it.
  */
 import { MeasuredProcess, usagePerSecond } from './childProcess.js'
-import type { AnnouncerOrder } from './announcers.js'
+import type { AnnouncerOptions } from './announcers.js'
 import type { SlopeMeasurement } from './slope.js'
 
 const SETTLE_MS = 4_000
@@ -16,8 +16,8 @@
 
 async function readAnnounced (endpointsCount: number): Promise<number[]> {
   const entry = await MeasuredProcess.start('entry', null)
-  const order: AnnouncerOrder = { endpointsCount, intervalMs: INTERVAL_MS, dataCentre: 'ubungo', hosts: [String(entry.ready)] }
-  const endpoints = await MeasuredProcess.start('announce', order)
+  const options: AnnouncerOptions = { endpointsCount, intervalMs: INTERVAL_MS, dataCentre: 'ubungo', hosts: [String(entry.ready)] }
+  const endpoints = await MeasuredProcess.start('announce', options)
   await pause(SETTLE_MS)
   const before = await entry.usage()
   const startMs = performance.now()
--- a/bench/slopes/ledgers.ts
+++ b/bench/slopes/ledgers.ts
@@ -1,6 +1,6 @@
 /**
- * What the ledger of samples costs a control host: state, and processor time
- * of a whole step, as the samples of a step grow.
+ * The cost of the sample ledger for a control host: size of the state, and
+ * processor time of an entire step, by number of samples in a step.
  */
 import { encode } from 'cbor-x'
 import { LedgerHarness } from '../../tests/fixtures/rollouts/ledgerHarness.js'
@@ -21,7 +21,7 @@
   return harness
 }
 
-/** Leases and commits every slot of the step, as hosts of a fleet would; gives the number of commands. */
+/** Leases and commits every slot of the step, as the hosts of a fleet would; returns the number of commands. */
 function runStep (harness: LedgerHarness): number {
   let commandsCount = 0
   for (let host = 0; ; host = (host + 1) % HOSTS) {
--- a/bench/slopes/main.ts
+++ b/bench/slopes/main.ts
@@ -1,7 +1,7 @@
 /**
  * `npm run slopes -- [NAME…]`: measures slopes against the real modules and
  * stores them in bench/slopes.json, each with its command, date and commit. A
- * name may be an area. Slopes that are not measured now stay as they were.
+ * name may be an area. Stored slopes that are not measured are kept.
  */
 import { execFileSync } from 'node:child_process'
 import { existsSync, readFileSync, writeFileSync } from 'node:fs'
@@ -17,7 +17,7 @@
 /** The readings of each metric, in order. */
 async function readAll ({ sizes, repeats, metrics, read }: SlopeMeasurement): Promise<SlopeReading[][]> {
   const names = metrics.map(({ name }) => name).join(', ')
-  if (sizes.length < MIN_SIZES) throw new Error(`${names}: ${MIN_SIZES} sizes at least`)
+  if (sizes.length < MIN_SIZES) throw new Error(`${names}: expected at least ${MIN_SIZES} sizes, got ${sizes.length}`)
   const readings = metrics.map(() => sizes.map(size => ({ size, values: [] as number[] })))
   for (let round = 0; round < repeats; round++) {
     for (const [index, size] of sizes.entries()) {
@@ -50,32 +50,32 @@
 }
 
 function describe ({ name, perUnit, intercept, unit, sizeUnit, spreadPercent, bend }: Slope): string {
-  return `${name}: ${perUnit.toPrecision(4)} ${unit} per one of ${sizeUnit}, from ${intercept.toPrecision(4)}, spread ${spreadPercent}%, bend ${bend}`
+  return `${name}: ${perUnit.toPrecision(4)} ${unit} per unit of ${sizeUnit}, intercept ${intercept.toPrecision(4)}, spread ${spreadPercent}%, bend ${bend}`
 }
 
-function isAsked ({ metrics }: SlopeMeasurement, asked: readonly string[]): boolean {
-  return asked.length === 0 || metrics.some(({ name }) => asked.some(prefix => name === prefix || name.startsWith(`${prefix}.`)))
+function isSelected ({ metrics }: SlopeMeasurement, selectedNames: readonly string[]): boolean {
+  return selectedNames.length === 0 || metrics.some(({ name }) => selectedNames.some(prefix => name === prefix || name.startsWith(`${prefix}.`)))
 }
 
-function store (measured: readonly Slope[]): void {
+function storeSlopes (measured: readonly Slope[]): void {
   const kept = storedSlopes().filter(({ name }) => !measured.some(slope => slope.name === name))
   const slopes = [...kept, ...measured].sort((a, b) => a.name < b.name ? -1 : 1)
   writeFileSync(SLOPES_PATH, `${JSON.stringify({ slopes }, null, 1)}\n`)
 }
 
 async function main (): Promise<number> {
-  const asked = process.argv.slice(2)
-  const chosen = measurements.filter(measurement => isAsked(measurement, asked))
+  const selectedNames = process.argv.slice(2)
+  const chosen = measurements.filter(measurement => isSelected(measurement, selectedNames))
   if (chosen.length === 0) {
     const names = measurements.flatMap(({ metrics }) => metrics.map(({ name }) => name))
-    process.stderr.write(`expected names of ${names.join(', ')}\n`)
+    process.stderr.write(`no slope matches; expected names among ${names.join(', ')}\n`)
     return EXIT_USAGE
   }
   const commit = execFileSync('git', ['rev-parse', '--short', 'HEAD'], { encoding: 'utf8' }).trim()
   for (const measurement of chosen) {
     const slopes = await measure(measurement, commit)
     for (const slope of slopes) process.stdout.write(`${describe(slope)}\n`)
-    store(slopes)
+    storeSlopes(slopes)
   }
   return 0
 }
--- a/bench/slopes/measurements.ts
+++ b/bench/slopes/measurements.ts
@@ -1,5 +1,5 @@
 /**
- * All slopes. A file is added here when the module it measures has landed.
+ * Lists all slope measurements.
  */
 import { connectionSlopes } from './connections.js'
 import { commitSlopes } from './commits.js'
--- a/bench/slopes/paceEndpoint.ts
+++ b/bench/slopes/paceEndpoint.ts
@@ -1,6 +1,6 @@
 /**
- * In a child: an endpoint that answers at once (a service) or sends tokens at
- * an even pace, one a chunk (an engine), and costs little itself.
+ * An endpoint, run in a child process, that responds at once (a service) or streams
+ * tokens at a constant pace, one per chunk (an engine), at little cost of its own.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -12,10 +12,10 @@
 import { serveUsage } from './childProcess.js'
 
 const ANNOUNCE_INTERVAL_MS = 1_000
-/** More than any size needs, so that nothing queues. */
+/** Higher than any size needs, so that no request queues. */
 export const MAX_CONCURRENT = 1_000
 
-export interface EndpointOrder {
+export interface PacedEndpointOptions {
   entryAddress: string
   pool: 'booking' | 'lm'
   dataCentre: string
@@ -23,16 +23,16 @@
   tokenIntervalMs: number
 }
 
-export async function runEndpoint (order: EndpointOrder): Promise<void> {
+export async function runPacedEndpoint (options: PacedEndpointOptions): Promise<void> {
   const server = createServer((incoming, response) => {
-    incoming.toArray().then((chunks: Buffer[]) => answer(order, incoming, response, Buffer.concat(chunks)), () => response.destroy())
+    incoming.toArray().then((chunks: Buffer[]) => handleRequest(options, incoming, response, Buffer.concat(chunks)), () => response.destroy())
   })
   await new Promise<void>(resolve => server.listen(0, '127.0.74.1', resolve))
   const { port } = server.address() as AddressInfo
   let sequence = 0
   const announce = async (): Promise<void> => {
-    const body = JSON.stringify(announcementOf(order, `http://127.0.74.1:${port}`, ++sequence))
-    const reply = await request(`http://${order.entryAddress}${callerPaths.announce}`, { method: 'POST', body })
+    const body = JSON.stringify(announcementOf(options, `http://127.0.74.1:${port}`, ++sequence))
+    const reply = await request(`http://${options.entryAddress}${callerPaths.announce}`, { method: 'POST', body })
     await reply.body.dump()
   }
   await announce()
@@ -40,13 +40,13 @@
   serveUsage(null, {})
 }
 
-function answer (order: EndpointOrder, incoming: IncomingMessage, response: ServerResponse, body: Buffer): void {
-  if (order.pool === 'lm') return stream(order, response, body)
+function handleRequest (options: PacedEndpointOptions, incoming: IncomingMessage, response: ServerResponse, body: Buffer): void {
+  if (options.pool === 'lm') return stream(options, response, body)
   response.writeHead(200, { 'content-type': 'application/json', [REQUEST_ID_HEADER]: incoming.headers[REQUEST_ID_HEADER] ?? '' })
   response.end(JSON.stringify({ path: incoming.url }))
 }
 
-function stream ({ tokensCount, tokenIntervalMs }: EndpointOrder, response: ServerResponse, body: Buffer): void {
+function stream ({ tokensCount, tokenIntervalMs }: PacedEndpointOptions, response: ServerResponse, body: Buffer): void {
   const id = completionOf(body).request_id ?? ''
   let sentCount = 0
   const send = (): void => {
@@ -62,7 +62,7 @@
   send()
 }
 
-function announcementOf ({ pool, dataCentre }: EndpointOrder, url: string, sequence: number): Announcement {
+function announcementOf ({ pool, dataCentre }: PacedEndpointOptions, url: string, sequence: number): Announcement {
   return {
     endpointId: 'endpoint-1',
     pool,
--- a/bench/slopes/scheduling.ts
+++ b/bench/slopes/scheduling.ts
@@ -1,6 +1,6 @@
 /**
- * What the choice of an endpoint costs as a host knows more of them: one
- * assignment at once, its end included, with a queue that is empty.
+ * The cost of choosing an endpoint, by number of endpoints that a host knows: one
+ * assignment at a time, including its end, with an empty queue.
  */
 import { SchedulingFixture } from '../../tests/fixtures/schedulingFixture.js'
 import { processorUs } from './ownProcess.js'
--- a/bench/slopes/slope.ts
+++ b/bench/slopes/slope.ts
@@ -1,30 +1,30 @@
 /**
- * A slope: how a cost grows with a size, read at four sizes or more against
- * the real modules, with a straight line through the medians.
+ * A slope: how a cost grows with a size, measured on the real modules at four or
+ * more sizes, with a straight line fitted to the medians.
  */
 import { z } from 'zod'
 
 export const SLOPES_PATH = 'bench/slopes.json'
 export const MIN_SIZES = 4
 
-/** One figure that a reading gives. */
+/** One value of a reading. */
 export interface SlopeMetric {
-  /** Dotted, the area first. */
+  /** Dot-separated, starting with the area. */
   name: string
-  /** One sentence: what grows with what. */
+  /** What the metric measures. */
   what: string
   unit: string
 }
 
-/** Figures that are read together, over one size. */
+/** Metrics that are read together, as functions of one size. */
 export interface SlopeMeasurement {
   metrics: SlopeMetric[]
-  /** What the sizes count, in the plural. */
+  /** What the sizes count, as a plural noun. */
   sizeUnit: string
   sizes: number[]
-  /** Readings of each size; rounds are interleaved. */
+  /** Number of readings of each size; rounds over all sizes are interleaved. */
   repeats: number
-  /** In the order of the metrics. */
+  /** Takes one reading; returns the values in the order of the metrics. */
   read(size: number): Promise<number[]>
 }
 
@@ -34,12 +34,12 @@
   unit: z.string(),
   sizeUnit: z.string(),
   readings: z.array(z.strictObject({ size: z.number(), values: z.array(z.number()) })).min(MIN_SIZES),
-  /** Of the straight line through the medians. */
+  /** Slope of the straight line fitted to the medians. */
   perUnit: z.number(),
   intercept: z.number(),
   /** The widest range of the readings of one size, over their median, in percent. */
   spreadPercent: z.number(),
-  /** Slope between the two largest sizes over the slope of the whole line: above 1 it bends upwards. */
+  /** Slope between the two largest sizes over the slope of the fitted line; above 1 if the cost grows faster than linearly. */
   bend: z.number(),
   command: z.string(),
   date: z.iso.date(),
@@ -63,7 +63,7 @@
   intercept: number
 }
 
-/** Least squares through the medians. */
+/** Least-squares fit to the medians. */
 export function fitLine (readings: readonly SlopeReading[]): Line {
   const points = readings.map(({ size, values }) => ({ x: size, y: medianOf(values) }))
   const meanX = mean(points.map(({ x }) => x))
@@ -88,7 +88,7 @@
   return (medianOf(last.values) - medianOf(before.values)) / (last.size - before.size) / perUnit
 }
 
-/** The cost at a size beyond those measured. */
+/** The cost at a size beyond the measured ones. */
 export function extrapolate ({ perUnit, intercept }: Line, size: number): number {
   return intercept + perUnit * size
 }
--- a/bench/slopes/weights.ts
+++ b/bench/slopes/weights.ts
@@ -1,8 +1,8 @@
 /**
- * What a change of weights on a whole pool costs the host that coordinates it:
- * the real coordinator with engines and a rate-limited store on a virtual
- * clock. The store hands out one engine's weights in 22 s over 600, as letter
- * 1 asks, so the time that is read shows what the coordinator adds to it.
+ * The cost of a weight swap on an entire pool for the host that coordinates it:
+ * the real coordinator with engines and a rate-limited store on a virtual clock.
+ * The store transfers the weights of one engine in 22 s / 600, the required
+ * rate, so the measured time shows what the coordinator adds.
  */
 import { callerPaths } from '../../src/protocol/callers.js'
 import { POOL, RolloutWorld } from '../../tests/fixtures/rollouts/rolloutWorld.js'
