--- a/bench/areas.ts
+++ b/bench/areas.ts
@@ -1,6 +1,5 @@
 /**
- * The areas of the benchmark harness. An area is added here when its file
- * lands.
+ * The areas of the benchmark harness, by name.
  */
 import type { BenchRun } from './benchResult.js'
 import { run as control } from './control.js'
--- a/bench/benchResult.ts
+++ b/bench/benchResult.ts
@@ -1,12 +1,12 @@
 /**
- * What a benchmark hands back, and what it is given. Every area exports one
- * `run` function; the harness prints, stores and checks what it returns.
+ * Results and options of a benchmark. Every area exports one `run` function; the
+ * harness prints, stores and checks the results that it returns.
  */
 
 export enum BenchUnit {
   Count = 'count',
   Bytes = 'bytes',
-  /** Of two readings of one run. */
+  /** Quotient of two readings of the same run. */
   Ratio = 'ratio',
   Milliseconds = 'ms',
   Microseconds = 'us',
@@ -15,28 +15,28 @@
 }
 
 export interface BenchResult {
-  /** Dotted, the area first; bounds refer to it. */
+  /** Dot-separated, starting with the area; bounds refer to it. */
   name: string
   value: number
   unit: BenchUnit | `${BenchUnit}`
-  /** Largest minus smallest reading over the median, where it was read several times. */
+  /** Range of the readings over their median, where there are several. */
   spread?: number
-  /** Sizes, parameters and whatever else explains the value. */
+  /** Sizes, parameters and other explanations of the value. */
   detail?: Record<string, unknown> | string
 }
 
 export interface BenchOptions {
-  /** For workloads that draw at random. */
+  /** Seed for random workloads. */
   seed: number
-  /** Smaller sizes, for CI. */
+  /** Uses smaller sizes, for CI. */
   quick: boolean
-  /** Progress lines for whoever waits. */
+  /** Prints a progress line. */
   report (line: string): void
 }
 
 export type BenchRun = (options: BenchOptions) => Promise<BenchResult[]>
 
-/** The median of several readings, with their spread. */
+/** The median of the readings, and their range over the median. */
 export function median (readings: readonly number[]): { value: number, spread: number } {
   const sorted = [...readings].sort((a, b) => a - b)
   const middle = Math.floor(sorted.length / 2)
--- a/bench/bounds.ts
+++ b/bench/bounds.ts
@@ -1,8 +1,8 @@
 /**
- * Regression bounds: one file for all areas, bench/bounds.json. A bound names
- * the result it holds for, the limit, and the commit whose reading set it.
- * Only counts, bytes and ratios within one run are bounded, so that a busy
- * machine does not change the verdict.
+ * Regression bounds of all areas, from bench/bounds.json. A bound has the name of
+ * its result, the limit, and the commit whose reading it was set from. Only counts,
+ * bytes, percentages and ratios within one run can be bounded, so that the load of
+ * the machine does not change the verdict.
  */
 import { readFileSync } from 'node:fs'
 import { z } from 'zod'
@@ -16,7 +16,7 @@
   max: z.number().optional(),
   /** The value must not be below it. */
   min: z.number().optional(),
-  /** What the commit below read. */
+  /** The reading at `commit`. */
   reading: z.number(),
   commit: z.string().regex(/^[0-9a-f]{7,40}$/, 'expected a commit hash')
 }).refine(bound => bound.max !== undefined || bound.min !== undefined, 'expected max or min')
@@ -28,7 +28,7 @@
 export type BoundVerdict =
   | { kind: 'within', result: BenchResult, bound: Bound, ratio: number }
   | { kind: 'broken', result: BenchResult, bound: Bound, ratio: number }
-  /** The area ran, and the result that the bound is for was not in it. */
+  /** The area ran without producing the bounded result. */
   | { kind: 'missing', bound: Bound }
   | { kind: 'notBoundable', result: BenchResult, bound: Bound }
 
@@ -38,13 +38,13 @@
   return boundsSchema.parse(JSON.parse(readFileSync(path, 'utf8'))).bounds
 }
 
-/** Checks the bounds of the areas that were run. */
+/** Checks the bounds of the given areas, which were run. */
 export function checkBounds (bounds: readonly Bound[], results: readonly BenchResult[], areas: readonly string[]): BoundVerdict[] {
-  const asked = bounds.filter(bound => areas.some(area => bound.name.startsWith(`${area}.`)))
-  return asked.map(bound => checkBound(bound, results.find(result => result.name === bound.name)))
+  const relevantBounds = bounds.filter(bound => areas.some(area => bound.name.startsWith(`${area}.`)))
+  return relevantBounds.map(bound => checkBound(bound, results.find(result => result.name === bound.name)))
 }
 
-/** Areas of which a check could not fail. */
+/** Areas without bounds, whose check could not fail. */
 export function unboundedAreas (bounds: readonly Bound[], areas: readonly string[]): string[] {
   return areas.filter(area => !bounds.some(bound => bound.name.startsWith(`${area}.`)))
 }
--- a/bench/entryOverhead.ts
+++ b/bench/entryOverhead.ts
@@ -1,7 +1,7 @@
 /**
- * What an entry host costs beside a bare pass-through from node:http to
- * undici, in one run: processor time and memory a request, for plain calls and
- * for token streams.
+ * The cost of an entry host compared with a bare pass-through from node:http to
+ * undici in the same run: processor time and memory per request, for plain calls
+ * and for token streams.
  */
 import { Agent } from 'undici'
 import { EndpointKind } from '../src/protocol/resources.js'
@@ -14,7 +14,7 @@
 const ROUNDS_COUNT = 5
 const PLAIN_BODY = 'drum'.repeat(64)
 const TOKENS_PER_STREAM = 100
-const HELD_COUNT = 400
+const OPEN_STREAMS_COUNT = 400
 const MICROS_PER_SECOND = 1_000_000
 
 interface Workload {
@@ -35,7 +35,7 @@
   response.end(body)
 }
 
-/** Sends each token by itself, as an engine does that makes one in every round. */
+/** Sends each token separately, as an engine that generates one token per round. */
 const tokens: Handler = async (_request, response, body) => {
   const { request_id: id = 'bare', prompt } = completionOf(body)
   response.writeHead(200, { 'content-type': 'text/event-stream' })
@@ -55,11 +55,11 @@
   await Promise.all([service.start(entry), engine.start(entry)])
   const agent = new Agent({ connections: CONCURRENT_COUNT, pipelining: 1 })
   try {
-    await untilServing(agent, entry.url)
+    await waitUntilServing(agent, entry.url)
     return [
       ...await compare(options, agent, entry, service.url, plainLoad(options)),
       ...await compare(options, agent, entry, engine.url, streamLoad(options)),
-      ...await heldMemory(entry)
+      ...await measureOpenStreams(entry)
     ]
   } finally {
     entry.stop()
@@ -77,7 +77,7 @@
   return { name: 'stream', requestsCount: quick ? 100 : 400, path: '/v1/completions', body }
 }
 
-/** Reads both sides by turns, so that whatever else the machine does meets both. */
+/** Measures both sides alternately, so that other load on the machine affects both. */
 async function compare ({ report }: BenchOptions, agent: Agent, entry: Proxy, targetUrl: string, load: Workload): Promise<BenchResult[]> {
   const bare = await Proxy.start(ProxyKind.Bare, targetUrl)
   const readings: Record<ProxyKind, Reading[]> = { [ProxyKind.Entry]: [], [ProxyKind.Bare]: [] }
@@ -102,9 +102,9 @@
 
 async function drive (agent: Agent, proxy: Proxy, { requestsCount, path, body }: Workload): Promise<Reading> {
   const before = await proxy.usage()
-  let leftCount = requestsCount
+  let remainingCount = requestsCount
   const worker = async (): Promise<void> => {
-    while (leftCount-- > 0) await send(agent, proxy.url, path, body)
+    while (remainingCount-- > 0) await send(agent, proxy.url, path, body)
   }
   await Promise.all(Array.from({ length: CONCURRENT_COUNT }, worker))
   const after = await proxy.usage()
@@ -112,25 +112,25 @@
 }
 
 async function send (agent: Agent, origin: string, path: string, body: string): Promise<void> {
-  const answer = await agent.request({ origin, path, method: 'POST', headers: { 'content-type': 'application/json' }, body })
-  const text = await answer.body.text()
-  if (answer.statusCode !== 200) throw new Error(`status ${answer.statusCode}: ${text}`)
+  const response = await agent.request({ origin, path, method: 'POST', headers: { 'content-type': 'application/json' }, body })
+  const text = await response.body.text()
+  if (response.statusCode !== 200) throw new Error(`status ${response.statusCode}: ${text}`)
 }
 
-/** Heap that an open request takes on the entry host while its engine is silent. */
-async function heldMemory (entry: Proxy): Promise<BenchResult[]> {
+/** Heap per open request on the entry host while the engine sends nothing. */
+async function measureOpenStreams (entry: Proxy): Promise<BenchResult[]> {
   const agent = new Agent()
   const before = await entry.usage()
   const body = JSON.stringify({ model: 'practice-lm', prompt: 'held', stream: true })
-  const held = Array.from({ length: HELD_COUNT }, () => send(agent, entry.url, '/v1/completions', body).catch(() => {}))
+  const openStreams = Array.from({ length: OPEN_STREAMS_COUNT }, () => send(agent, entry.url, '/v1/completions', body).catch(() => {}))
   await new Promise(resolve => setTimeout(resolve, 2_000))
   const after = await entry.usage()
   await agent.destroy()
-  await Promise.all(held)
-  return [{ name: 'entryOverhead.heldRequest.heap', value: (after.heapBytes - before.heapBytes) / HELD_COUNT, unit: 'bytes', detail: `${HELD_COUNT} open streams, both connections included` }]
+  await Promise.all(openStreams)
+  return [{ name: 'entryOverhead.heldRequest.heap', value: (after.heapBytes - before.heapBytes) / OPEN_STREAMS_COUNT, unit: 'bytes', detail: `${OPEN_STREAMS_COUNT} open streams, both connections included` }]
 }
 
-async function untilServing (agent: Agent, url: string): Promise<void> {
+async function waitUntilServing (agent: Agent, url: string): Promise<void> {
   for (;;) {
     const answers = await Promise.all([plainLoad, streamLoad].map(load => {
       const { path, body } = load({ quick: true, seed: 0, report: () => {} })
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,6 +1,6 @@
 /**
  * `npm run bench -- AREA… [--check] [--json FILE] [--quick] [--seed N]`: runs
- * the areas (all without a name), prints a table, and with `--check` fails on
+ * the given areas, or all by default, prints a table, and with `--check` fails on
  * a result outside its bound.
  */
 import { writeFileSync } from 'node:fs'
@@ -33,13 +33,13 @@
   const bounds = readBounds()
   const unbounded = unboundedAreas(bounds, names)
   if (unbounded.length > 0) {
-    process.stderr.write(`no bound for ${unbounded.join(', ')} in ${BOUNDS_PATH}: a check of it cannot fail\n`)
+    process.stderr.write(`no bound for ${unbounded.join(', ')} in ${BOUNDS_PATH}: a check without bounds cannot fail\n`)
     return EXIT_USAGE
   }
   const verdicts = checkBounds(bounds, results, names)
   for (const verdict of verdicts) process.stdout.write(`${describeVerdict(verdict)}\n`)
   const failedCount = verdicts.filter(verdict => !passes(verdict)).length
-  process.stdout.write(`${verdicts.length - failedCount} bounds held, ${failedCount} broken\n`)
+  process.stdout.write(`${verdicts.length - failedCount} bounds met, ${failedCount} failed\n`)
   return failedCount > 0 ? EXIT_REGRESSION : 0
 }
 
@@ -62,7 +62,7 @@
   cli.usage(`[area…] [--check] [--json FILE] [--quick] [--seed N]\n\nAreas: ${Object.keys(areas).join(', ')}`)
   cli.option('--check', 'compare with bench/bounds.json and fail on a regression')
   cli.option('--json <file>', 'write the results to a file')
-  cli.option('--quick', 'smaller sizes')
+  cli.option('--quick', 'use smaller sizes')
   cli.option('--seed <number>', 'seed of the workloads', { default: DEFAULT_SEED })
   cli.help()
   const { args, options } = cli.parse()
--- a/bench/transport.ts
+++ b/bench/transport.ts
@@ -1,8 +1,7 @@
 /**
- * What one exchange between processes costs over each of the wires that the
- * house offers: a framed CBOR call, plain HTTP by undici, tRPC over HTTP. Both
- * ends run in this process, one call at a time, rounds interleaved, so that
- * the ratios hold within the run.
+ * The cost of one call over each available transport: framed CBOR, plain HTTP with
+ * undici, and tRPC over HTTP. Both ends run in this process, one call at a time,
+ * with interleaved rounds, so that ratios are comparable within a run.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -87,8 +86,8 @@
   return {
     name: 'http',
     async call () {
-      const answer = await pool.request({ method: 'POST', path: '/', body: JSON.stringify(heartbeat) })
-      heartbeatSchema.parse(await answer.body.json())
+      const response = await pool.request({ method: 'POST', path: '/', body: JSON.stringify(heartbeat) })
+      heartbeatSchema.parse(await response.body.json())
     }
   }
 }
@@ -108,7 +107,7 @@
   }
 }
 
-/** Processor time of one call, both ends, in microseconds. */
+/** Processor time of one call in microseconds, both ends together. */
 async function readProcessorUs (wire: Wire, calls: number): Promise<number> {
   const before = process.cpuUsage()
   for (let call = 0; call < calls; call++) await wire.call()
