--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -118,7 +118,7 @@
   private async _checkTrainer (): Promise<SoakReport['trainer']> {
     const record = await waitFor('the trainer\'s record', async () => trainerRecordSchema.safeParse(await getJson(`${this._system.trainerUrl}/record`)).data)
     const generations = Array.from({ length: ENGINES }, (_, index) => readRecordFile(this._recordFile(index))).flat()
-    const gaps = record.samples.flatMap(({ position }, index) => position === index + 1 ? [] : [`sample ${index + 1} has position ${position}`])
+    const gaps = record.samples.flatMap(({ position }, index) => position === index + 1 ? [] : [`position ${position} at sample ${index + 1}`])
     return {
       steps: record.steps.length,
       samples: record.samples.length,
