--- a/bench/fleetSoak/soakFleet.ts
+++ b/bench/fleetSoak/soakFleet.ts
@@ -84,7 +84,7 @@
   static async create (counts: HostCounts, endpointsCount: number): Promise<SoakFleet> {
     const hostsCount = Object.values(counts).reduce((sum: number, count: number) => sum + count, 0)
     const blocks: AddressBlock[] = []
-    while (blocks.length * HOSTS_PER_BLOCK < hostsCount + endpointsCount) blocks.push(await AddressBlock.take())
+    while (blocks.length * HOSTS_PER_BLOCK < hostsCount + endpointsCount) blocks.push(await AddressBlock.acquire())
     const fleet = new SoakFleet(blocks)
     for (const group of Object.values(HostGroup)) {
       for (let number = 0; number < counts[group]; number++) {
--- a/bench/leader/storeReplica.ts
+++ b/bench/leader/storeReplica.ts
@@ -64,7 +64,7 @@
   const handlers = new RpcHandlers()
   replica.serve(handlers)
   replica.core.state.append([{ index: 1, term: 0, kind: EntryKind.Membership, atMs: 0, payload: encodeMembership({ clusterId: CLUSTER_ID, members }) }])
-  await replica.core.adopt(CLUSTER_ID)
+  await replica.core.adoptCluster(CLUSTER_ID)
   await transport.listen(own.peerAddress, supervisor.scope, connection => { new RpcPeer(connection, handlers, onFatal).connection.onMessage(() => {}) })
   replica.start()
   return { replica, state }
--- a/bench/requests/simulation.ts
+++ b/bench/requests/simulation.ts
@@ -179,7 +179,7 @@
       if (outcome.kind === 'refused') return this._recorder.refused(name, this._clock.nowMs(), outcome.reason)
       const result = await this._attempt(outcome.assignment, request, progress)
       if (result.kind === 'complete') {
-        return this._recorder.complete(name, startedAtMs, this._clock.nowMs(), result.tokensCount, !progress.isOver())
+        return this._recorder.complete(name, startedAtMs, this._clock.nowMs(), result.tokensCount, !progress.isPastDeadline())
       }
       this._recorder.wasted(this._clock.nowMs(), result.tokensCount)
       if (result.kind === 'cancelled') return this._recorder.late(name, this._clock.nowMs(), 0)
--- a/bench/rollouts/scenario.ts
+++ b/bench/rollouts/scenario.ts
@@ -6,7 +6,7 @@
 import { createHash } from 'node:crypto'
 import { seededRandom, type RandomSource } from '../../src/utils/randomSource.js'
 import { RolloutWorld, type WorldOptions } from '../../tests/fixtures/rollouts/rolloutWorld.js'
-import { capacityPerSecond, defaultPace, type EnginePace } from '../../tests/fixtures/rollouts/virtualEngine.js'
+import { maxTokensPerSecond, defaultEngineProfile, type EngineProfile } from '../../tests/fixtures/rollouts/virtualEngine.js'
 import { VirtualTrainer } from '../../tests/fixtures/rollouts/virtualTrainer.js'
 
 export enum Policy {
@@ -56,7 +56,7 @@
 const PROMPT_SIGMA = 0.6
 const SAMPLE_SIGMA = 0.5
 const ENGINE_DOWNTIME_MS = 20_000
-const PACE: EnginePace = { ...defaultPace, maxConcurrentCount: 16 }
+const PACE: EngineProfile = { ...defaultEngineProfile, maxConcurrentCount: 16 }
 const STORE = { weightBytes: 500_000_000, adapterBytes: 100_000_000, bytesPerSecond: 1_000_000_000 }
 
 function normal (random: RandomSource): number {
@@ -86,9 +86,9 @@
     seed,
     hostsCount: HOSTS_COUNT,
     enginesCount: ENGINES_COUNT,
-    pace: PACE,
+    engineProfile: PACE,
     store: STORE,
-    recordsMakers: false,
+    recordsOrigins: false,
     drawLength: heavyTail(seed),
     resumes: !isPlain,
     forecast: isPlain ? () => 0 : undefined,
@@ -181,7 +181,7 @@
  * from which it may be started ahead.
  */
 function lowerBoundMs (trainers: VirtualTrainer[], deliveredCount: number, { trainMs, startAheadSteps }: Scenario): number {
-  const engineMs = 1000 * deliveredCount / (ENGINES_COUNT * capacityPerSecond(PACE))
+  const engineMs = 1000 * deliveredCount / (ENGINES_COUNT * maxTokensPerSecond(PACE))
   const chainsMs = trainers.map(({ steps }) => chainMs(steps.map(({ longestTokensCount }) => longestTokensCount), trainMs, startAheadSteps))
   return Math.max(engineMs + trainMs, ...chainsMs)
 }
@@ -204,7 +204,7 @@
   const [trainer] = trainers
   const storeMs = ENGINES_COUNT * world.store.transferMs()
   const ratios = (trainer?.published ?? []).slice(0, stepsCount - 1).flatMap(({ weightVersion, atMs }) => {
-    const applied = [...world.engines.values()].map(({ carriedOut }) => carriedOut.find(({ target }) => target === weightVersion)?.appliedAtMs)
+    const applied = [...world.engines.values()].map(({ executedOrders: carriedOut }) => carriedOut.find(({ target }) => target === weightVersion)?.appliedAtMs)
     if (applied.includes(undefined)) return []
     return [(Math.max(...applied as number[]) - atMs) / storeMs]
   })
--- a/bench/slopes/weights.ts
+++ b/bench/slopes/weights.ts
@@ -22,7 +22,7 @@
     enginesCount,
     store: { weightBytes: WEIGHT_BYTES, bytesPerSecond: BYTES_PER_SECOND },
     pool: { maxFetchingCount: MAX_FETCHING },
-    recordsMakers: false
+    recordsOrigins: false
   })
   world.declareJob(JOB, { paused: true })
   await world.clock.advance(5_000)
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -18,7 +18,7 @@
 import { Scope } from '../../src/utils/scope.js'
 import { readRecordFile } from '../../standins/generationRecord.js'
 import { trainerRecordSchema } from '../../standins/recordSchemas.js'
-import { findFalseVersions } from '../../standins/versionCheck.js'
+import { findVersionMismatches } from '../../standins/versionCheck.js'
 import { FaultInjector } from './disturber.js'
 import { MemorySamples, type MemoryTrend } from './memorySamples.js'
 
@@ -124,7 +124,7 @@
       samples: record.samples.length,
       asksAgain: record.asksAgainCount,
       violations: [...record.violations, ...gaps],
-      falseVersions: findFalseVersions(record.samples, generations)
+      falseVersions: findVersionMismatches(record.samples, generations)
     }
   }
 
--- a/demo/addressBlock.ts
+++ b/demo/addressBlock.ts
@@ -27,7 +27,7 @@
   }
 
   /** Reserves the block that the examples use if it is free, or else the next free one. */
-  static async take (): Promise<AddressBlock> {
+  static async acquire (): Promise<AddressBlock> {
     for (let subnet = FIRST_SUBNET; subnet <= LAST_SUBNET; subnet++) {
       for (let block = 0; block < BLOCKS_PER_SUBNET; block++) {
         const lock = await tryListen(hostAddress(subnet, block, LOCK_HOST))
--- a/demo/demoRun.ts
+++ b/demo/demoRun.ts
@@ -6,7 +6,7 @@
 import { EntryClient, type EntryAnswer, type EntryRequest } from '../standins/entryClient.js'
 import { engineRecordSchema, serviceRecordSchema, trainerRecordSchema } from '../standins/recordSchemas.js'
 import { readStream } from '../standins/streamReader.js'
-import { findFalseVersions } from '../standins/versionCheck.js'
+import { findVersionMismatches } from '../standins/versionCheck.js'
 import { getJson, type LocalSystem } from './localSystem.js'
 import type { ManagedProcess } from './processGroup.js'
 import { progressLine, samplesTable, printLine, stepsTable } from './report.js'
@@ -71,7 +71,7 @@
     printLine(samplesTable(record))
     printLine(stepsTable(record))
     if (record.violations.length > 0) throw new Error(`the trainer reported violations: ${record.violations.join('; ')}`)
-    const mismatches = findFalseVersions(record.samples, await this._engineGenerations())
+    const mismatches = findVersionMismatches(record.samples, await this._engineGenerations())
     if (mismatches.length > 0) throw new Error(`samples claim versions that the engines did not record: ${mismatches.join('; ')}`)
     printLine(`checked: ${record.samples.length} samples, fresh, complete, each once, versions as the engines recorded them`)
   }
--- a/demo/localSystem.ts
+++ b/demo/localSystem.ts
@@ -62,7 +62,7 @@
 
   /** @param entryOverrides additional tables for the settings of the entry hosts */
   static async create (entryOverrides: Overrides = {}): Promise<LocalSystem> {
-    return new LocalSystem(await AddressBlock.take(), entryOverrides)
+    return new LocalSystem(await AddressBlock.acquire(), entryOverrides)
   }
 
   get controlAddresses (): string[] {
@@ -87,7 +87,7 @@
   }
 
   /** Replaces the addresses of the examples with those of this system. */
-  translate (text: string): string {
+  replaceExampleAddresses (text: string): string {
     return this._addresses.translate(text)
   }
 
@@ -95,7 +95,7 @@
   localFile (path: string): string {
     const target = join(this.folder, path)
     mkdirSync(dirname(target), { recursive: true })
-    writeFileSync(target, this.translate(readFileSync(join(REPOSITORY_FOLDER, path), 'utf8')))
+    writeFileSync(target, this.replaceExampleAddresses(readFileSync(join(REPOSITORY_FOLDER, path), 'utf8')))
     return target
   }
 
--- a/src/accounts/callerAdmission.ts
+++ b/src/accounts/callerAdmission.ts
@@ -11,7 +11,7 @@
 export interface CallerAdmissionOptions {
   policy: KeyPolicy
   /** Time since a majority of the control hosts last answered, in milliseconds. */
-  outOfTouchMs: () => number
+  disconnectedMs: () => number
 }
 
 export interface AdmissionDecision {
@@ -33,7 +33,7 @@
     const accounts = this._accounts.of(routing)
     if (!accounts) return { admission: { kind: 'open' }, keyName: undefined }
     const keyDigest = key === undefined ? undefined : digestOfKey(key)
-    const admission = admit({ accounts, isPublic, keyDigest, disconnectedMs: this._options.outOfTouchMs() }, this._options.policy)
+    const admission = admit({ accounts, isPublic, keyDigest, disconnectedMs: this._options.disconnectedMs() }, this._options.policy)
     return { admission, keyName: keyDigest === undefined ? undefined : shortDigest(keyDigest) }
   }
 }
--- a/src/batches/assignmentRound.ts
+++ b/src/batches/assignmentRound.ts
@@ -103,7 +103,7 @@
     const existing = candidateSets.get(placement.service)
     if (existing) return existing
     const { minVersion } = batch.submission
-    const candidates = this._options.enginesOf(placement.service).filter(engine => engine.mayBegin(item.model) && engine.version(item.model) >= minVersion)
+    const candidates = this._options.enginesOf(placement.service).filter(engine => engine.acceptsRuns(item.model) && engine.version(item.model) >= minVersion)
     const candidateSet = candidateSetOf(placement, candidates.map(engine => candidateOf(engine, placement)), this._assignedCount)
     candidateSets.set(placement.service, candidateSet)
     return candidateSet
@@ -159,7 +159,7 @@
     const { engine } = candidate
     if (maxRunsCount !== undefined && engine.runningCount >= Math.min(maxRunsCount, candidate.maxRunsCount)) continue
     // A probing engine accepts one run at a time and may have got it earlier in this round.
-    if (candidate.isUncertain && !engine.health.isOpen) continue
+    if (candidate.isUncertain && !engine.health.isAvailable) continue
     const costMs = eventCostMs(candidate)
     if (costMs >= lowestCostMs) continue
     best = candidate
--- a/src/batches/batch.ts
+++ b/src/batches/batch.ts
@@ -147,7 +147,7 @@
     return this._isEnded ? this._keepMs : MAX_OPEN_FACTOR * this._keepMs
   }
 
-  isOutdated (atMs: number): boolean {
+  isExpired (atMs: number): boolean {
     return atMs - this.acceptedAtMs > this.keptMs
   }
 
--- a/src/batches/batchClient.ts
+++ b/src/batches/batchClient.ts
@@ -29,7 +29,7 @@
 const SUSPECT_DURATION_MS = 2_000
 
 /** Identifies a batch in a request. */
-export interface AskedBatch {
+export interface BatchReference {
   batchId: string
   /** The client account that sends the request; undefined for none. */
   account?: string | undefined
@@ -83,24 +83,24 @@
   }
 
   /** Waits for results in short polls, so that a replica that dies meanwhile is soon replaced by another one. */
-  async readResults ({ batchId, account }: AskedBatch, fromPosition: number, waitMs: number, progress: Progress): Promise<Exclude<ReadResultsReply, NotLeader>> {
+  async readResults ({ batchId, account }: BatchReference, fromPosition: number, waitMs: number, progress: Progress): Promise<Exclude<ReadResultsReply, NotLeader>> {
     const { clock } = progress
     const waitUntilMs = clock.nowMs() + waitMs
     for (;;) {
       const pollMs = Math.min(MAX_POLL_MS, Math.max(0, waitUntilMs - clock.nowMs()))
       const request = { batchId, account, fromPosition, waitMs: pollMs }
-      const reply = await this._read<AskedBatch & { fromPosition: number, waitMs: number }, ReadResultsReply>(readResultsMethod, request, progress, pollMs + READ_TIMEOUT_MS)
+      const reply = await this._read<BatchReference & { fromPosition: number, waitMs: number }, ReadResultsReply>(readResultsMethod, request, progress, pollMs + READ_TIMEOUT_MS)
       const mayWait = reply.kind === 'results' && reply.results.length === 0 && !reply.isEnded
       if (!mayWait || clock.nowMs() >= waitUntilMs) return reply
     }
   }
 
-  async readItem ({ batchId, account }: AskedBatch, itemId: string, progress: Progress): Promise<Exclude<ReadItemReply, NotLeader>> {
-    return await this._read<AskedBatch & { itemId: string }, ReadItemReply>(readItemMethod, { batchId, account, itemId }, progress, READ_TIMEOUT_MS)
+  async readItem ({ batchId, account }: BatchReference, itemId: string, progress: Progress): Promise<Exclude<ReadItemReply, NotLeader>> {
+    return await this._read<BatchReference & { itemId: string }, ReadItemReply>(readItemMethod, { batchId, account, itemId }, progress, READ_TIMEOUT_MS)
   }
 
-  async end (reference: AskedBatch, progress: Progress): Promise<Exclude<EndBatchReply, NotLeader>> {
-    const outcome = await this._callLeader<AskedBatch, EndBatchReply>(endBatchMethod, reference, progress, ATTEMPT_TIMEOUT_MS)
+  async end (reference: BatchReference, progress: Progress): Promise<Exclude<EndBatchReply, NotLeader>> {
+    const outcome = await this._callLeader<BatchReference, EndBatchReply>(endBatchMethod, reference, progress, ATTEMPT_TIMEOUT_MS)
     return outcome.kind === 'answered' ? outcome.reply : unavailableFor(outcome)
   }
 
@@ -121,7 +121,7 @@
     const { clock } = progress
     const address = this._readerAddress(clock.nowMs())
     if (address === undefined) return undefined
-    const outcome = await this._links.to({ peerAddress: address }).call(method, body, progress.before(clock.nowMs() + attemptTimeoutMs))
+    const outcome = await this._links.to({ peerAddress: address }).call(method, body, progress.withDeadline(clock.nowMs() + attemptTimeoutMs))
     if (outcome.kind !== 'replied') {
       this._suspectUntilMs.set(address, clock.nowMs() + SUSPECT_DURATION_MS)
       return undefined
@@ -135,11 +135,11 @@
     method: RpcMethod<Request, Reply>, body: Request, progress: Progress, attemptTimeoutMs: number
   ): Promise<LeaderOutcome<Reply>> {
     let last: LeaderOutcome<Reply> = { kind: 'refused', reason: 'no leader of the batch store is known' }
-    while (!progress.isOver()) {
+    while (!progress.isPastDeadline()) {
       const address = this._leaderAddress()
       const callOutcome = address === undefined
         ? undefined
-        : await this._callAddress(address, method, body, progress.before(progress.clock.nowMs() + attemptTimeoutMs))
+        : await this._callAddress(address, method, body, progress.withDeadline(progress.clock.nowMs() + attemptTimeoutMs))
       const outcome = callOutcome && interpretOutcome(callOutcome)
       if (outcome?.kind === 'answered') return outcome
       // After a lost call, a later refusal does not prove that nothing took effect.
--- a/src/batches/batchDispatcher.ts
+++ b/src/batches/batchDispatcher.ts
@@ -28,7 +28,7 @@
 import { ItemRun, type ItemRunOptions } from './itemRun.js'
 import { ItemOutput } from './itemOutput.js'
 import { ModelDemand } from './modelDemand.js'
-import { PlacementSelector } from './runPlaces.js'
+import { PlacementSelector } from './placementSelector.js'
 import { SlotAssignment } from './slotAssignment.js'
 import { StepReports, type ReportedStep } from './stepReports.js'
 
@@ -133,7 +133,7 @@
   }
 
   /** Writes all output that only this host holds to the replicated state, so that the next leader can continue from it. */
-  async keepOutputs (progress: Progress): Promise<void> {
+  async replicateOutputs (progress: Progress): Promise<void> {
     await progress.race(Promise.all([...this._runs].map(run => run.replicateOutput(progress))))
   }
 
@@ -178,7 +178,7 @@
     const { clock, logger } = this._options
     const { submission, results, batchId } = batch
     const nowMs = clock.nowMs()
-    const givenUpCount = results.filter(({ state }) => state === ResultState.GivenUp).length
+    const givenUpCount = results.filter(({ state }) => state === ResultState.Abandoned).length
     logger.event(BatchEvent.StepEnded, {
       batchId, model: submission.model, step: submission.step, openForMs: Math.round(nowMs - startedAtMs), dueInMs: Math.round(dueAtMs - nowMs), itemsCount: submission.itemsCount, listedCount: results.length, givenUpCount
     })
@@ -187,7 +187,7 @@
   private _startBatch (batch: Batch): void {
     const { clock, supervisor: parent } = this._options
     const supervisor = parent.child(`batch ${batch.batchId}`)
-    this.demand.asked(batch.submission, this._options.view.namedVersion(batch.submission.model))
+    this.demand.recordStep(batch.submission, this._options.view.namedVersion(batch.submission.model))
     const batchSettings = this.routeOf(batch.submission.host, batch.submission.path)?.batch
     const nowMs = clock.nowMs()
     const times = this._options.ages.timesOf(batch, batchSettings)
@@ -206,11 +206,11 @@
       quarantine,
       replica,
       acquire: (run, deadlineMs, scope) => this._slots.acquire(run, deadlineMs, scope),
-      markRemoved: endpointId => this._options.view.markGone(endpointId),
+      markRemoved: endpointId => this._options.view.markRemoved(endpointId),
       release: (run, engine) => this._slots.release(run, engine),
       isOverloaded: () => this._slots.isOverloaded,
       shouldMove: (run, engine) => this._slots.shouldMove(run, engine),
-      onComplete: run => this.demand.made(run.item.model, run.output.lastEventId),
+      onComplete: run => this.demand.recordSample(run.item.model, run.output.lastEventId),
       tokensPerEvent: run => this._placements.placementOf(run)?.modelEngine?.tokensPerEvent ?? 1,
       enginesCount: run => this.engines.ofService(this._placements.placementOf(run)?.service ?? '').length,
       routeOf: (host, path) => this.routeOf(host, path)
--- a/src/batches/batchReports.ts
+++ b/src/batches/batchReports.ts
@@ -22,7 +22,7 @@
 }
 
 /** Logs the removal of an expired batch together with the times that decided it. */
-export function reportForgotten (logger: Logger, { batchId, acceptedAtMs, keptMs, isEnded, results }: Batch, decidedAtMs: number): void {
+export function reportExpired (logger: Logger, { batchId, acceptedAtMs, keptMs, isEnded, results }: Batch, decidedAtMs: number): void {
   logger.event(BatchEvent.BatchExpired, { batchId, acceptedAtMs, decidedAtMs, keptMs, isEnded, listedCount: results.length })
 }
 
--- a/src/batches/batchService.ts
+++ b/src/batches/batchService.ts
@@ -17,7 +17,7 @@
 import { Progress } from '../utils/progress.js'
 import type { Scope } from '../utils/scope.js'
 import type { Batch } from './batch.js'
-import type { AskedBatch, NotLeader } from './batchClient.js'
+import type { BatchReference, NotLeader } from './batchClient.js'
 import { BatchEvent } from './batchEvents.js'
 import { UnknownBatchReporter } from './batchReports.js'
 import type { BatchState } from './batchState.js'
@@ -75,7 +75,7 @@
       return { kind: 'refused', reason: fullReason, isFinal: true }
     }
     const outcome = await replica.propose({ kind: BatchCommandKind.Submit, submission, keepMs }, progress)
-    if (outcome.kind !== 'unknown') this._capacity.settle(batchId)
+    if (outcome.kind !== 'unknown') this._capacity.release(batchId)
     if (outcome.kind === 'committed') {
       if ((outcome.result as BatchCommandResult).kind === 'foreign') return { kind: 'refused', reason: 'the batch id is already in use', isFinal: true }
       logger.event(BatchEvent.BatchAccepted, { batchId, step, model, minVersion, itemsCount: items.length, index: outcome.index })
@@ -85,21 +85,21 @@
     return outcome.kind === 'notCommitted' ? { kind: 'refused', reason: outcome.reason } : outcome
   }
 
-  private async _readResults (reference: AskedBatch, fromPosition: number, waitMs: number, progress: Progress): Promise<ReadResultsReply> {
+  private async _readResults (reference: BatchReference, fromPosition: number, waitMs: number, progress: Progress): Promise<ReadResultsReply> {
     const { clock, replica } = this._options
-    const waiting = progress.before(Math.min(clock.nowMs() + waitMs, progress.deadlineMs - WAIT_MARGIN_MS))
+    const waiting = progress.withDeadline(Math.min(clock.nowMs() + waitMs, progress.deadlineMs - WAIT_MARGIN_MS))
     const failure = await this._confirmCurrent(progress)
     if (failure) return failure
     for (;;) {
       const batch = this._batchOf(reference)
       if (!batch) return this._unknownBatch(reference.batchId, 'readResults')
       // The list only grows, so the state cannot become stale after the confirmation.
-      if (batch.results.length > fromPosition || batch.isEnded || waiting.isOver()) return pageOf(batch, fromPosition)
+      if (batch.results.length > fromPosition || batch.isEnded || waiting.isPastDeadline()) return pageOf(batch, fromPosition)
       await replica.applied.wait(progress.scope, waiting)
     }
   }
 
-  private async _readItem (reference: AskedBatch, itemId: string, progress: Progress): Promise<ReadItemReply> {
+  private async _readItem (reference: BatchReference, itemId: string, progress: Progress): Promise<ReadItemReply> {
     const failure = await this._confirmCurrent(progress)
     if (failure) return failure
     const batch = this._batchOf(reference)
@@ -108,7 +108,7 @@
     return item ? { kind: 'body', body: item.body } : { kind: 'absent' }
   }
 
-  private async _end ({ batchId, account }: AskedBatch, progress: Progress): Promise<EndBatchReply> {
+  private async _end ({ batchId, account }: BatchReference, progress: Progress): Promise<EndBatchReply> {
     const { replica, logger } = this._options
     if (!replica.leadership) return this._notLeader()
     const outcome = await replica.propose({ kind: BatchCommandKind.End, batchId, account }, progress)
@@ -155,7 +155,7 @@
   }
 
   /** The referenced batch; undefined when it does not exist or the account may not access it. */
-  private _batchOf ({ batchId, account }: AskedBatch): Batch | undefined {
+  private _batchOf ({ batchId, account }: BatchReference): Batch | undefined {
     const batch = this._options.state.get(batchId)
     return batch?.isAccessibleBy(account) === true ? batch : undefined
   }
--- a/src/batches/batchState.ts
+++ b/src/batches/batchState.ts
@@ -65,9 +65,9 @@
   /** A trainer published a version of its weights. */
   onNamed: (weights: NamedWeights) => void
   /** A batch was added. */
-  onTaken?: (batch: Batch) => void
+  onBatchAdded?: (batch: Batch) => void
   /** A batch expired; `decidedAtMs` is the time of the log entry that removed it. */
-  onForgotten?: (batch: Batch, decidedAtMs: number) => void
+  onBatchExpired?: (batch: Batch, decidedAtMs: number) => void
 }
 
 const noListener: BatchStateListener = { onOrder: () => {}, onNamed: () => {} }
@@ -98,7 +98,7 @@
   /** Estimated memory in bytes without what has expired at an instant; the next submission removes that. */
   heldBytesAt (atMs: number): number {
     let heldBytes = 0
-    for (const batch of this._batches.values()) heldBytes += batch.isOutdated(atMs) ? 0 : batch.heldBytes
+    for (const batch of this._batches.values()) heldBytes += batch.isExpired(atMs) ? 0 : batch.heldBytes
     for (const output of this._unfinished.values()) heldBytes += isOutputExpired(output, atMs) ? 0 : heldBytesOfUnfinished(output.itemId, output.parts)
     return heldBytes
   }
@@ -123,8 +123,8 @@
   }
 
   /** Open batches that have not expired at an instant. */
-  openAt (atMs: number): Batch[] {
-    return this.open().filter(batch => !batch.isOutdated(atMs))
+  openBatchesAt (atMs: number): Batch[] {
+    return this.open().filter(batch => !batch.isExpired(atMs))
   }
 
   get heldCount (): number {
@@ -241,7 +241,7 @@
 
   private _add (batch: Batch): void {
     this._batches.set(batch.batchId, batch)
-    this._listener.onTaken?.(batch)
+    this._listener.onBatchAdded?.(batch)
   }
 
   private _appendOutput (batchId: string, itemId: string, afterEventId: number, parts: OutputPart[], atMs: number): BatchCommandResult {
@@ -302,9 +302,9 @@
       if (isOutputExpired(output, atMs)) this._unfinished.delete(key)
     }
     for (const [batchId, batch] of this._batches) {
-      if (!batch.isOutdated(atMs)) continue
+      if (!batch.isExpired(atMs)) continue
       this._batches.delete(batchId)
-      this._listener.onForgotten?.(batch, atMs)
+      this._listener.onBatchExpired?.(batch, atMs)
       for (const result of batch.results) {
         const key = itemKeyOf(batch.submission.account, result.itemId)
         if (this._completed.get(key)?.result === result) this._completed.delete(key)
--- a/src/batches/batchTimes.ts
+++ b/src/batches/batchTimes.ts
@@ -3,7 +3,7 @@
  * computed from the acceptance of the batch and not from the moment at which a host
  * starts to run it; otherwise a new leader would treat late batches as fresh ones.
  */
-import type { BatchPromise } from '../protocol/routing.js'
+import type { BatchPolicy } from '../protocol/routing.js'
 import type { Clock } from '../utils/clock.js'
 import type { Batch } from './batch.js'
 import { ASSUMED_TOKEN_MS } from './itemOrder.js'
@@ -45,7 +45,7 @@
    * scheduling, relies on the wall clocks of two leaders, which may differ.
    * `abandonAtMs` relies on this host's own clock alone.
    */
-  timesOf (batch: Batch, batchSettings: BatchPromise | undefined): BatchTimes {
+  timesOf (batch: Batch, batchSettings: BatchPolicy | undefined): BatchTimes {
     const nowMs = this._clock.nowMs()
     const dueMs = batchSettings?.dueMs ?? DEFAULT_DUE_MS
     const maxQueueMs = batchSettings?.maxQueueMs ?? DEFAULT_DUE_MS
--- a/src/batches/engineFleet.ts
+++ b/src/batches/engineFleet.ts
@@ -17,7 +17,7 @@
   endpoint: FleetEndpoint
   runningCount = 0
   /** Tokens that its runs are expected to occupy in its KV cache. */
-  heldTokensCount = 0
+  reservedTokensCount = 0
   /** The weight load in progress, or one whose outcome is not known yet. */
   load: { model: string, version: number } | undefined
   readonly pace: EnginePace
@@ -45,10 +45,10 @@
 
   /** Never lowers a version: a heartbeat may be older than the latest report. */
   recordWeights (weights: readonly NamedWeights[]): void {
-    for (const { model, version } of weights) this.learnVersion(model, version)
+    for (const { model, version } of weights) this.recordVersion(model, version)
   }
 
-  learnVersion (model: string, version: number): void {
+  recordVersion (model: string, version: number): void {
     if (version > this.version(model)) this._versions.set(model, version)
   }
 
@@ -58,32 +58,32 @@
   }
 
   /** Whether it accepts new runs, regardless of free slots. */
-  get isSound (): boolean {
-    return this.health.isOpen && !this.health.isFull
+  get isHealthy (): boolean {
+    return this.health.isAvailable && !this.health.isFull
   }
 
   /** Whether it accepts new runs of a model, regardless of free slots. A load blocks only its own model. */
-  mayBegin (model: string): boolean {
-    return this.isSound && this.load?.model !== model
+  acceptsRuns (model: string): boolean {
+    return this.isHealthy && this.load?.model !== model
   }
 
   /** Whether a run of the model can start now. An engine that needs a probe gets a single run. */
-  mayRun (model: string): boolean {
-    const hasRoom = this.pace.isInDoubt ? this.runningCount === 0 : this.freeSlotsCount > 0
-    return hasRoom && this.mayBegin(model)
+  canStartRun (model: string): boolean {
+    const hasRoom = this.pace.needsProbe ? this.runningCount === 0 : this.freeSlotsCount > 0
+    return hasRoom && this.acceptsRuns(model)
   }
 
   /** Occupies a slot. */
-  enter (tokensCount: number): void {
+  addRun (tokensCount: number): void {
     this.health.began()
     this.runningCount++
-    this.heldTokensCount += tokensCount
+    this.reservedTokensCount += tokensCount
   }
 
   /** Frees a slot. */
-  leave (tokensCount: number): void {
+  removeRun (tokensCount: number): void {
     this.runningCount--
-    this.heldTokensCount -= tokensCount
+    this.reservedTokensCount -= tokensCount
   }
 }
 
--- a/src/batches/enginePace.ts
+++ b/src/batches/enginePace.ts
@@ -51,7 +51,7 @@
   }
 
   /** Records the time between two consecutive events of a run. */
-  sawGap (gapMs: number): void {
+  recordGap (gapMs: number): void {
     if (this._isCurrentExpired()) this._currentGapsCount = 0
     this._currentGapsCount++
     // A plain mean until there are as many gaps as the running mean covers.
@@ -62,26 +62,26 @@
   }
 
   /** Current mean time between two events of a run; undefined without enough recent events. */
-  get presentGapMs (): number | undefined {
+  get currentGapMs (): number | undefined {
     if (this._isCurrentExpired() || this._currentGapsCount < MIN_CURRENT_GAPS_COUNT) return undefined
     return this._currentMs
   }
 
   /** Mean time between two events while nothing slows the engine down; undefined until one bucket is complete. */
-  get naturalGapMs (): number | undefined {
+  get baselineGapMs (): number | undefined {
     return this._baselineMs
   }
 
   /** Best estimate for the next run; undefined before the first event. */
   get expectedGapMs (): number | undefined {
-    return this.presentGapMs ?? this._baselineMs ?? this._currentMs
+    return this.currentGapMs ?? this._baselineMs ?? this._currentMs
   }
 
   /**
    * The engine was slower than its baseline when it last ran anything, and the
    * current pace has expired. Only another run shows whether the slowdown is over.
    */
-  get isInDoubt (): boolean {
+  get needsProbe (): boolean {
     if (!this._isCurrentExpired() || this._currentMs === undefined) return false
     return this._baselineMs === undefined || this._currentMs > SLOWED_RATIO * this._baselineMs
   }
--- a/src/batches/itemOrder.ts
+++ b/src/batches/itemOrder.ts
@@ -72,7 +72,7 @@
 }
 
 export function loadOf (engine: Engine, assumedGapMs: number, kvCapacityTokens: number): EngineLoad {
-  return { gapMs: expectedGapMs(engine, assumedGapMs), isUncertain: engine.pace.isInDoubt || engine.health.isOnTrial, engine, kvCapacityTokens }
+  return { gapMs: expectedGapMs(engine, assumedGapMs), isUncertain: engine.pace.needsProbe || engine.health.isHalfOpen, engine, kvCapacityTokens }
 }
 
 /**
@@ -81,7 +81,7 @@
  * short; an engine that runs out of memory restarts its newest run from the beginning.
  */
 export function eventCostMs ({ gapMs, isUncertain, engine, kvCapacityTokens }: EngineLoad): number {
-  const memoryShare = engine.heldTokensCount / Math.max(1, kvCapacityTokens)
+  const memoryShare = engine.reservedTokensCount / Math.max(1, kvCapacityTokens)
   return gapMs * (1 + FULL_BATCH_SLOWDOWN * busyShareOf(engine) + memoryShare ** 2 + (isUncertain ? UNCERTAINTY_COST : 0))
 }
 
@@ -156,7 +156,7 @@
 
 /** Time that a run saves per event by moving to another engine; 0 when both are of one kind. */
 export function gainPerEventMs (from: Engine, to: Engine): number {
-  const fromGapMs = from.pace.presentGapMs
+  const fromGapMs = from.pace.currentGapMs
   const toGapMs = gapWithOneMoreMs(to)
   if (fromGapMs === undefined || toGapMs === undefined || fromGapMs < MOVE_RATIO * toGapMs) return 0
   return fromGapMs - toGapMs
@@ -164,7 +164,7 @@
 
 /** Expected time per event of an engine with one more run; undefined when its pace is unknown or uncertain. */
 function gapWithOneMoreMs (engine: Engine): number | undefined {
-  const { presentGapMs, naturalGapMs, isInDoubt } = engine.pace
+  const { currentGapMs: presentGapMs, baselineGapMs: naturalGapMs, needsProbe: isInDoubt } = engine.pace
   if (presentGapMs !== undefined) return presentGapMs
   return isInDoubt || naturalGapMs === undefined ? undefined : naturalGapMs * (1 + FULL_BATCH_SLOWDOWN * busyShareOf(engine))
 }
--- a/src/batches/itemRun.ts
+++ b/src/batches/itemRun.ts
@@ -4,8 +4,8 @@
  * run breaks off, is scored and is committed, all in one sequential task.
  */
 import type { EndpointClient, ItemEvent, ItemOutcome } from '../endpoints/endpointClient.js'
-import { FailureAccount } from '../endpoints/failureAccount.js'
-import { RequestStanding, type QuarantinedRun, type RequestQuarantine } from '../quarantine/requestQuarantine.js'
+import { FailureAttribution } from '../endpoints/failureAttribution.js'
+import { QuarantineStatus, type QuarantinedRun, type RequestQuarantine } from '../quarantine/requestQuarantine.js'
 import type { RequestIdentity } from '../quarantine/requestIdentity.js'
 import type { RequestForwarder } from '../gateway/requestForwarder.js'
 import { BatchCommandKind, ResultState, type BatchCommandResult, type BatchItem, type ItemResult } from '../protocol/batches.js'
@@ -23,9 +23,9 @@
 import type { BatchTimes } from './batchTimes.js'
 import type { Engine } from './engineFleet.js'
 import { ItemOutput } from './itemOutput.js'
-import { OutputReplicator } from './outputKeeper.js'
+import { OutputReplicator } from './outputReplicator.js'
 import { recordOutcome, type RunOutcome } from './runOutcome.js'
-import { StallDetector } from './silenceWatch.js'
+import { StallDetector } from './stallDetector.js'
 import type { WaitingItem } from './itemOrder.js'
 import { RewardScoring } from './rewardScoring.js'
 import { ItemStage } from './stepReports.js'
@@ -78,7 +78,7 @@
   stage = ItemStage.Queued
   private readonly _options: ItemRunOptions
   /** Failures of the item at engines. */
-  private readonly _failures: FailureAccount
+  private readonly _failures: FailureAttribution
   private readonly _outputReplicator: OutputReplicator
   private readonly _identity: RequestIdentity
   private readonly _startedAtMs: number
@@ -92,7 +92,7 @@
     this._identity = options.quarantine.identify({ host: batch.submission.host, method: 'POST', path: item.path, body: item.body })
     this.batch = batch
     this.item = item
-    this._failures = new FailureAccount(() => item.itemId)
+    this._failures = new FailureAttribution(() => item.itemId)
     this.times = times
     this.output = earlierOutput ?? new ItemOutput()
     this.isCarriedOver = isCarriedOver
@@ -121,7 +121,7 @@
 
   /** Whether the item may not use all engines that other items of its batch may use. */
   get isRestricted (): boolean {
-    return this._failures.endpointsCount > 0 || this._quarantineStatus() === RequestStanding.OnProbation
+    return this._failures.endpointsCount > 0 || this._quarantineStatus() === QuarantineStatus.OnProbation
   }
 
   /** Whether the item has failed at an engine, which is then only used if no other one fits. */
@@ -132,7 +132,7 @@
   /** Whether the quarantine allows the item to run at an engine beside its present runs. */
   mayRunOn ({ endpoint }: Engine): boolean {
     const status = this._quarantineStatus()
-    return status !== RequestStanding.Condemned && this._options.quarantine.mayBegin(status, endpoint)
+    return status !== QuarantineStatus.Condemned && this._options.quarantine.mayStart(status, endpoint)
   }
 
   /** Ends the run at the present engine, so that the item continues at another one. */
@@ -210,20 +210,20 @@
 
   private _isWithheld (): boolean {
     const { quarantine } = this._options
-    if (quarantine.standingOf(this._identity) !== RequestStanding.Condemned) return false
-    quarantine.noteHeldBack(this._identity, { attemptId: this.item.itemId, route: this.batch.submission.path })
+    if (quarantine.statusOf(this._identity) !== QuarantineStatus.Condemned) return false
+    quarantine.recordWithheld(this._identity, { attemptId: this.item.itemId, route: this.batch.submission.path })
     return true
   }
 
-  private _quarantineStatus (): RequestStanding {
-    return this._options.quarantine.standingOf(this._identity)
+  private _quarantineStatus (): QuarantineStatus {
+    return this._options.quarantine.statusOf(this._identity)
   }
 
   private _logRun (engine: Engine, outcome: RunOutcome): void {
     this._options.metrics.count(MetricName.ItemRunEnded, { outcome: outcome.kind })
     const fields = { endpointId: engine.id, eventsCount: this.output.lastEventId }
     if (outcome.kind === 'finished') return this._log(BatchEvent.ItemFinished, { ...fields, versions: this.output.versions.map(String) })
-    if (outcome.kind === 'moved') return this._log(BatchEvent.ItemMoved, { ...fields, meanGapMs: Math.round(engine.pace.presentGapMs ?? 0) })
+    if (outcome.kind === 'moved') return this._log(BatchEvent.ItemMoved, { ...fields, meanGapMs: Math.round(engine.pace.currentGapMs ?? 0) })
     this._log(BatchEvent.ItemRunFailed, { ...fields, outcome: outcome.kind, reason: reasonOf(outcome) })
   }
 
@@ -255,13 +255,13 @@
 
   private async _attempt (engine: Engine, scope: Scope): Promise<RunOutcome> {
     const { clock, client, quarantine } = this._options
-    const quarantined = quarantine.begin(this._identity, engine.endpoint)
+    const quarantined = quarantine.startRun(this._identity, engine.endpoint)
     const runScope = scope.child(`run on ${engine.id}`)
     const stallDetector = new StallDetector(clock, engine.pace, runScope, this._options.isOverloaded)
     let problem: string | undefined
     const onEvent = (event: ItemEvent): void => {
       stallDetector.recordEvent()
-      engine.health.worked()
+      engine.health.responded()
       if (stallDetector.eventsCount === 1) this._recordFirstEvent(engine)
       problem = this._addEvent(event, engine)
       this._outputReplicator.replicateIfEnough(scope)
@@ -275,7 +275,7 @@
       this._reportToQuarantine(quarantined, outcome)
       return outcome
     } catch (error) {
-      quarantine.left(quarantined)
+      quarantine.abandoned(quarantined)
       if (!(error instanceof ScopeClosedError) || scope.isClosed) throw error
       if (runScope.closeReason === MOVED) return { kind: 'moved' }
       const reason = runScope.closeReason ?? ''
@@ -289,7 +289,7 @@
 
   private _recordFirstEvent (engine: Engine): void {
     engine.health.accepted()
-    this._failures.settled(engine.id)
+    this._failures.accepted(engine.id)
   }
 
   private _reportToQuarantine (run: QuarantinedRun, outcome: ItemOutcome): void {
@@ -327,7 +327,7 @@
       engine.setVersion(this.item.model, event.version)
       return `engine sent an event of version ${event.version}, older than the required version ${minVersion}`
     }
-    engine.learnVersion(this.item.model, event.version)
+    engine.recordVersion(this.item.model, event.version)
     const isSingle = this._options.routeOf(host, path)?.batch?.isSingleVersion === true
     if (isSingle && this.isStarted && !this.output.versions.includes(event.version)) {
       this.output.clear()
@@ -344,7 +344,7 @@
 
   private _abandonedResult (): ItemResult {
     this._log(BatchEvent.ItemAbandoned, { failuresCount: this._failures.failuresCount, enginesCount: this._failures.endpointsCount })
-    return { itemId: this.item.itemId, state: ResultState.GivenUp, parts: [], versions: [] }
+    return { itemId: this.item.itemId, state: ResultState.Abandoned, parts: [], versions: [] }
   }
 
   /** Waits for the score and returns the result; an abandoned one if there is no score. */
--- a/src/batches/modelDemand.ts
+++ b/src/batches/modelDemand.ts
@@ -36,7 +36,7 @@
   }
 
   /** Records the newest version that a trainer has named; may be called repeatedly with the same one. */
-  named (model: string, version: number): void {
+  recordNamedVersion (model: string, version: number): void {
     const demand = this._demandOf(model, version)
     if (version <= demand.namedVersion) return
     demand.namedVersion = version
@@ -45,7 +45,7 @@
   }
 
   /** Records a submitted step and the newest version at that time. */
-  asked ({ model, minVersion, itemsCount }: SubmissionHead, namedVersion: number): void {
+  recordStep ({ model, minVersion, itemsCount }: SubmissionHead, namedVersion: number): void {
     const demand = this._demandOf(model, namedVersion)
     demand.stepItemsCount = itemsCount
     demand.stalenesses.push(Math.max(0, namedVersion - minVersion))
@@ -53,7 +53,7 @@
   }
 
   /** Records the length of a complete sample. */
-  made (model: string, eventsCount: number): void {
+  recordSample (model: string, eventsCount: number): void {
     const demand = this._demands.get(model)
     if (demand) demand.longestEventsCount = Math.max(demand.longestEventsCount, eventsCount)
   }
@@ -70,7 +70,7 @@
   }
 
   /** Mean time between two named versions; undefined until two were observed. */
-  namingIntervalMs (model: string): number | undefined {
+  versionIntervalMs (model: string): number | undefined {
     const namings = this._demands.get(model)?.namings ?? []
     const first = namings[0]
     const last = namings.at(-1)
--- a/src/batches/orderHistory.ts
+++ b/src/batches/orderHistory.ts
@@ -23,7 +23,7 @@
   }
 
   /** Replaces the engine's earlier announcement. */
-  learn (name: string, holder: string, lanesCount: number | undefined): void {
+  record (name: string, holder: string, lanesCount: number | undefined): void {
     this._sustainedLoadsCount = lanesCount ?? this._sustainedLoadsCount
     this._latestOrders.set(name, { holder, recordedAtMs: this._clock.nowMs() })
   }
--- a/src/batches/runOutcome.ts
+++ b/src/batches/runOutcome.ts
@@ -3,7 +3,7 @@
  */
 import type { ItemOutcome } from '../endpoints/endpointClient.js'
 import { FailureReason } from '../endpoints/endpointHealth.js'
-import type { FailureAccount } from '../endpoints/failureAccount.js'
+import type { FailureAttribution } from '../endpoints/failureAttribution.js'
 import { unreachable } from '../utils/errors.js'
 import type { Engine } from './engineFleet.js'
 
@@ -20,7 +20,7 @@
   engine: Engine
   startedAtMs: number
   /** Failures of its item at all engines. */
-  failures: FailureAccount
+  failures: FailureAttribution
   /** Called when another endpoint answers at the address of the engine. */
   markRemoved: (endpointId: string) => void
 }
@@ -35,22 +35,22 @@
     case 'unusable':
       return
     case 'failed':
-      health.worked()
+      health.responded()
       failures.note(engine.id, health, startedAtMs, outcome.status)
       return
     case 'notBegun':
       // Progress of other runs does not show that the engine starts the runs that it accepts.
       health.failed(FailureReason.Broken, startedAtMs)
-      failures.noteUnbegun(engine.id, health, startedAtMs)
+      failures.notStarted(engine.id, health, startedAtMs)
       return
     case 'notExecuted':
-      health.wasFull(undefined)
+      health.rejectedAsFull(undefined)
       return
     case 'misdirected':
       markRemoved(engine.id)
       return
     case 'unreached':
-      if (outcome.isRefused === true) health.refused(startedAtMs)
+      if (outcome.isRefused === true) health.refusedConnection(startedAtMs)
       else health.failed(FailureReason.Unreached, startedAtMs)
       return
     case 'broken':
--- a/src/batches/slotAssignment.ts
+++ b/src/batches/slotAssignment.ts
@@ -83,9 +83,9 @@
     if (engines.length === 0) return WaitReason.NoEngine
     const fitting = engines.filter(engine => this._fits(run, engine))
     if (fitting.length === 0) return WaitReason.NoVersion
-    const healthy = fitting.filter(engine => engine.mayBegin(run.item.model))
+    const healthy = fitting.filter(engine => engine.acceptsRuns(run.item.model))
     if (healthy.length === 0) return WaitReason.EnginesUnfit
-    return healthy.some(engine => engine.mayRun(run.item.model)) ? WaitReason.Turn : WaitReason.NoSlot
+    return healthy.some(engine => engine.canStartRun(run.item.model)) ? WaitReason.Turn : WaitReason.NoSlot
   }
 
   /** Assigns slots only after all items were added, so that the most urgent of them gets the first one. */
@@ -99,7 +99,7 @@
   /** Waits for a slot of an engine and takes it; undefined when none is free until the deadline. */
   async acquire (run: ItemRun, deadlineMs: number, scope: Scope): Promise<Engine | undefined> {
     const reserved = this._reserved.get(run)
-    if (reserved && reserved.mayBegin(run.item.model) && this._isReady(reserved)) {
+    if (reserved && reserved.acceptsRuns(run.item.model) && this._isReady(reserved)) {
       this._reserved.delete(run)
       return reserved
     }
@@ -126,7 +126,7 @@
   }
 
   release (run: ItemRun, engine: Engine): void {
-    engine.leave(tokensOf(run))
+    engine.removeRun(tokensOf(run))
     this._offerSlotToRunning(engine)
     this.assign()
   }
@@ -136,7 +136,7 @@
     const engine = this._reserved.get(run)
     if (!engine) return
     this._reserved.delete(run)
-    engine.leave(tokensOf(run))
+    engine.removeRun(tokensOf(run))
   }
 
   /** Moves runs that cannot finish before the removal of their engine, which would interrupt them. */
@@ -145,7 +145,7 @@
       const { engine } = run
       const leavesInMs = engine && this._leavesInMs(engine)
       if (!engine || leavesInMs === undefined || this._movedBeforeRemoval.has(run)) continue
-      const gapMs = engine.pace.presentGapMs ?? this._assumedGapMs(run)
+      const gapMs = engine.pace.currentGapMs ?? this._assumedGapMs(run)
       if (expectedEventsCount(this._estimateOf(run)) * gapMs <= leavesInMs - LEAVING_MARGIN_MS) continue
       this._movedBeforeRemoval.add(run)
       run.move()
@@ -161,7 +161,7 @@
   /** Whether a run should move to another engine; never while items wait, which get free slots first. */
   shouldMove (run: ItemRun, engine: Engine): boolean {
     if (this._waiting.length > 0 || this.isOverloaded) return false
-    const others = this._fittingEngines(run).filter(other => other !== engine && !run.avoids(other) && other.mayRun(run.item.model) && other.pace.expectedGapMs !== undefined)
+    const others = this._fittingEngines(run).filter(other => other !== engine && !run.avoids(other) && other.canStartRun(run.item.model) && other.pace.expectedGapMs !== undefined)
     const fastest = fastestEngine(others, Number.POSITIVE_INFINITY, this._kvCapacityTokens(run))
     return fastest !== undefined && movingGainMs(engine, fastest, this._estimateOf(run)) > 0
   }
@@ -185,7 +185,7 @@
         continue
       }
       this._pacing.recordStart()
-      engine.enter(tokensOf(waiting.run))
+      engine.addRun(tokensOf(waiting.run))
       waiting.resolve(engine)
     }
     this._waiting = remaining
@@ -206,7 +206,7 @@
    * determine when a step ends.
    */
   private _offerSlotToRunning (engine: Engine): void {
-    if (this.isOverloaded || !engine.isSound || engine.freeSlotsCount === 0 || !this._isReady(engine)) return
+    if (this.isOverloaded || !engine.isHealthy || engine.freeSlotsCount === 0 || !this._isReady(engine)) return
     const slower = new Set(this._options.engines.ofService(engine.endpoint.service).filter(other => gainPerEventMs(other, engine) > 0))
     if (slower.size === 0) return
     let movingRun: ItemRun | undefined
@@ -220,14 +220,14 @@
       maxGainMs = gainMs
     }
     if (!movingRun) return
-    engine.enter(tokensOf(movingRun))
+    engine.addRun(tokensOf(movingRun))
     this._reserved.set(movingRun, engine)
     movingRun.move()
   }
 
   /** Time that a run saves by moving to an engine; 0 when it should stay. */
   private _gainMs (run: ItemRun, from: Engine, to: Engine): number {
-    if (this._reserved.has(run) || !to.mayBegin(run.item.model) || !this._fits(run, to) || run.avoids(to)) return 0
+    if (this._reserved.has(run) || !to.acceptsRuns(run.item.model) || !this._fits(run, to) || run.avoids(to)) return 0
     return movingGainMs(from, to, this._estimateOf(run))
   }
 
@@ -236,7 +236,7 @@
     const waiting = this._waiting.map(({ run }) => run).filter(run => placementOf(run)?.service === service)
     const running = [...runs].filter(run => run.engine?.endpoint.service === service)
     const models = new Set(waiting.map(({ item }) => item.model))
-    const horizonsMs = [...models].map(model => demand.namingIntervalMs(model)).filter(intervalMs => intervalMs !== undefined)
+    const horizonsMs = [...models].map(model => demand.versionIntervalMs(model)).filter(intervalMs => intervalMs !== undefined)
     return slotsForDeferrable({
       workMs: [...waiting, ...running].reduce((sumMs, run) => sumMs + this._remainingMs(run), 0),
       horizonMs: Math.min(ASSUMED_STEP_INTERVAL_MS, ...horizonsMs),
@@ -249,7 +249,7 @@
   private _fittingEngines (run: ItemRun): Engine[] {
     const placement = this._options.placementOf(run)
     if (!placement) return []
-    return this._options.engines.ofService(placement.service).filter(engine => engine.mayBegin(run.item.model) && this._fits(run, engine))
+    return this._options.engines.ofService(placement.service).filter(engine => engine.acceptsRuns(run.item.model) && this._fits(run, engine))
   }
 
   /** Whether an engine belongs to the service of a run and has weights that are new enough for it. */
--- a/src/batches/silenceWatch.ts
+++ b/src/batches/stallDetector.ts
@@ -48,7 +48,7 @@
   recordEvent (): void {
     const nowMs = this._clock.nowMs()
     // The time to the first event depends on the prompt, and an overloaded host reads events late; neither is part of the pace.
-    if (this._eventsCount > 0 && !this._isOverloaded()) this._pace.sawGap(nowMs - this._lastEventAtMs)
+    if (this._eventsCount > 0 && !this._isOverloaded()) this._pace.recordGap(nowMs - this._lastEventAtMs)
     this._eventsCount++
     this._lastEventAtMs = nowMs
   }
@@ -69,6 +69,6 @@
 
   private _stallTimeoutMs (): number {
     if (this._eventsCount === 0) return FIRST_EVENT_TIMEOUT_MS
-    return Math.min(FIRST_EVENT_TIMEOUT_MS, Math.max(MIN_STALL_TIMEOUT_MS, STALL_GAPS_COUNT * (this._pace.presentGapMs ?? 0)))
+    return Math.min(FIRST_EVENT_TIMEOUT_MS, Math.max(MIN_STALL_TIMEOUT_MS, STALL_GAPS_COUNT * (this._pace.currentGapMs ?? 0)))
   }
 }
--- a/src/batches/storeCapacity.ts
+++ b/src/batches/storeCapacity.ts
@@ -46,12 +46,12 @@
   }
 
   /** Releases the reservation of a submission that was applied, or that never will be. */
-  settle (batchId: string): void {
+  release (batchId: string): void {
     this._reservations.delete(batchId)
   }
 
   private _isStored (batchId: string): boolean {
-    return this._state.get(batchId)?.isOutdated(this._clock.wallMs()) === false
+    return this._state.get(batchId)?.isExpired(this._clock.wallMs()) === false
   }
 
   private _neededBytes (submission: BatchSubmission): number {
@@ -63,7 +63,7 @@
   private _expectedBytes (): number {
     const bytesPerToken = this._bytesPerToken()
     let bytes = 0
-    for (const batch of this._state.openAt(this._clock.wallMs())) {
+    for (const batch of this._state.openBatchesAt(this._clock.wallMs())) {
       for (const { itemId, expectedTokensCount } of batch.openItems()) {
         bytes += Math.max(0, expectedOutputBytes(expectedTokensCount, bytesPerToken) - this._state.unfinishedBytes(itemId, batch.submission.account))
       }
--- a/src/batches/storeMembership.ts
+++ b/src/batches/storeMembership.ts
@@ -63,7 +63,7 @@
     const { core } = this._options.replica
     const first = core.state.log.get(1)
     if (core.clusterId !== null || first?.kind !== EntryKind.Membership) return
-    await scope.race(core.adopt(decodeMembership(first.payload).clusterId))
+    await scope.race(core.adoptCluster(decodeMembership(first.payload).clusterId))
   }
 
   private async _adoptGroup (scope: Scope): Promise<void> {
@@ -74,8 +74,8 @@
     if (!group || !isFirst || core.term > 0 || core.state.log.lastIndex > 0) return
     core.state.setHardState({ term: FIRST_TERM, votedFor: null })
     core.state.append([{ index: 1, term: FIRST_TERM, kind: EntryKind.Membership, atMs: 0, payload: firstMembership(group) }])
-    await core.settled(scope)
-    await scope.race(core.adopt(group.clusterId))
+    await core.whenDurable(scope)
+    await scope.race(core.adoptCluster(group.clusterId))
     logger.event(BatchEvent.StoreAdopted, { clusterId: group.clusterId, replicaId: core.replicaId })
   }
 
@@ -85,7 +85,7 @@
     if (view.storeGroup.initialReplicas.some(({ replicaId }) => replicaId === core.replicaId) && core.clusterId === null) return false
     const isMember = core.state.members.at(core.commitIndex).some(member => member.replicaId === core.replicaId)
     if (core.clusterId === null || !isMember) return true
-    return core.role !== ReplicaRole.Leader && clock.nowMs() - core.quietSinceMs > LEADERLESS_TIMEOUT_MS
+    return core.role !== ReplicaRole.Leader && clock.nowMs() - core.electionTimerStartedAtMs > LEADERLESS_TIMEOUT_MS
   }
 
   private async _requestJoin (scope: Scope): Promise<void> {
@@ -98,7 +98,7 @@
     const outcome = await replica.links.to({ peerAddress: target }).call(joinStoreMethod, newcomer, progress)
     const answer = outcome.kind === 'replied' ? outcome.body.kind === 'answered' ? outcome.body.outcome : 'not the leader' : outcome.reason
     if (answer === NOT_NEEDED) this._nextJoinAtMs = clock.nowMs() + NOT_NEEDED_RETRY_MS
-    else logger.event(BatchEvent.StoreJoinAsked, { target, answer })
+    else logger.event(BatchEvent.StoreJoinRequested, { target, answer })
   }
 }
 
--- a/src/batches/storeProgram.ts
+++ b/src/batches/storeProgram.ts
@@ -40,7 +40,7 @@
 import { Supervisor } from '../utils/supervisor.js'
 import { BatchDispatcher } from './batchDispatcher.js'
 import { BatchEvent } from './batchEvents.js'
-import { reportForgotten, setBatchGauges } from './batchReports.js'
+import { reportExpired, setBatchGauges } from './batchReports.js'
 import { BatchService } from './batchService.js'
 import { BatchState } from './batchState.js'
 import { BatchAges } from './batchTimes.js'
@@ -99,10 +99,10 @@
   private readonly _view: FleetView
   private readonly _ages = new BatchAges(systemClock)
   private readonly _state = new BatchState({
-    onTaken: batch => this._ages.taken(batch),
-    onOrder: (endpointId, holder, lanesCount) => this._orders.learn(endpointId, holder, lanesCount),
+    onBatchAdded: batch => this._ages.taken(batch),
+    onOrder: (endpointId, holder, lanesCount) => this._orders.record(endpointId, holder, lanesCount),
     onNamed: weights => this._view.merge(STORE_LOG_SOURCE, { weights: [weights] }),
-    onForgotten: (batch, decidedAtMs) => reportForgotten(this._options.logger, batch, decidedAtMs)
+    onBatchExpired: (batch, decidedAtMs) => reportExpired(this._options.logger, batch, decidedAtMs)
   })
 
   private readonly _replica: Replica
@@ -165,7 +165,7 @@
     const opened = await ReplicaStorage.open(disk, settings.hostId, () => random.id())
     const readMs = systemClock.nowMs() - readFromMs
     if (opened.damage !== undefined) logger.event(ReplicationEvent.StorageDamaged, { reason: opened.damage })
-    if (opened.loaded.tornBytes > 0) logger.event(ReplicationEvent.TornTailCut, { bytesCount: opened.loaded.tornBytes })
+    if (opened.loaded.tornBytes > 0) logger.event(ReplicationEvent.TornTailTruncated, { bytesCount: opened.loaded.tornBytes })
     const program = new StoreProgram(options, opened, readMs)
     await program._start()
     return program
@@ -175,13 +175,13 @@
   async stop (): Promise<void> {
     this._options.logger.event(BatchEvent.Stopping)
     const progress = new Progress(systemClock, this._scope, systemClock.nowMs() + HANDOVER_TIMEOUT_MS)
-    await this._dispatcher?.keepOutputs(progress)
+    await this._dispatcher?.replicateOutputs(progress)
     await this._replica.handOver(progress)
     await this._supervisor.stop('planned stop')
   }
 
   /** Replaces the control host addresses after a change of the settings. */
-  followSeeds (addresses: string[]): void {
+  setControlAddresses (addresses: string[]): void {
     this._follower.follow(addresses)
   }
 
@@ -250,7 +250,7 @@
   }
 
   private async _dispatch (leadership: Leadership, supervisor: Supervisor, scope: Scope): Promise<void> {
-    await this._replica.whenCurrent(scope)
+    await this._replica.whenCaughtUp(scope)
     this._follower.announceChange()
     const dispatcher = this._createDispatcher(supervisor)
     this._dispatcher = dispatcher
--- a/src/batches/weightLoad.ts
+++ b/src/batches/weightLoad.ts
@@ -101,10 +101,10 @@
         // An order that was not accepted is sent again at once; the expected count of orders makes the engine reject the first one if it arrives later.
         return await this._wasAccepted(requested, before, scope) && await this._waitUntilLoaded(requested, scope)
       case 'alreadyHolds':
-        engine.learnVersion(model, version)
+        engine.recordVersion(model, version)
         return true
       case 'misdirected':
-        this._options.view.markGone(engine.id)
+        this._options.view.markRemoved(engine.id)
         return false
       default:
         return false
@@ -129,7 +129,7 @@
     // Checked immediately before sending: if this process was suspended, another host may lead by now.
     if (!isAnnounced || clock.leaseNowMs() > trustedUntilMs || !leadership.holdsLease()) return undefined
     const order = { model, version, mode: LoadMode.Retain, holder, fencingNumber: leadership.term, expectedOrdersCount: before.ordersCount }
-    logger.event(BatchEvent.OrderGiven, { endpointId: engine.id, model, version, heldVersion: engine.version(model), reason, ordersCount: before.ordersCount, term: leadership.term })
+    logger.event(BatchEvent.OrderSent, { endpointId: engine.id, model, version, heldVersion: engine.version(model), reason, ordersCount: before.ordersCount, term: leadership.term })
     return await client.orderLoad(engine.endpoint, order, clock.nowMs() + ORDER_TIMEOUT_MS, scope)
   }
 
@@ -162,7 +162,7 @@
     const { clock, client } = this._options
     const startedAtMs = clock.nowMs()
     const report = await client.report(engine.endpoint, startedAtMs + REPORT_TIMEOUT_MS, scope)
-    if (report) engine.health.worked()
+    if (report) engine.health.responded()
     else engine.health.failed(FailureReason.NoReport, startedAtMs)
     return report
   }
--- a/src/batches/weightRollout.ts
+++ b/src/batches/weightRollout.ts
@@ -17,7 +17,7 @@
 import type { BatchDispatcher } from './batchDispatcher.js'
 import type { Engine } from './engineFleet.js'
 import { ASSUMED_TOKEN_MS } from './itemOrder.js'
-import { LoadConcurrency } from './loadLanes.js'
+import { LoadConcurrency } from './loadConcurrency.js'
 import type { OrderHistory } from './orderHistory.js'
 import { MAX_ORDER_TRANSIT_MS, WeightLoad, type RequestedLoad } from './weightLoad.js'
 import { nextLoad, type PlannedEngine, type PlannedModel } from './weightPlanner.js'
@@ -101,14 +101,14 @@
     const { view, dispatcher } = this._options
     const { demand } = dispatcher
     const namedVersion = view.namedVersion(model)
-    demand.named(model, namedVersion)
+    demand.recordNamedVersion(model, namedVersion)
     return {
       model,
       namedVersion,
       neededVersion: Math.max(dispatcher.neededVersion(model), namedVersion - demand.stalenessVersions(model)),
       waitingCount: dispatcher.waitingCount(model),
       stepItemsCount: demand.stepItemsCount(model),
-      versionIntervalMs: demand.namingIntervalMs(model),
+      versionIntervalMs: demand.versionIntervalMs(model),
       priority: dispatcher.priorityOf(model)
     }
   }
--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -101,7 +101,7 @@
     const query = new URLSearchParams({ fromRevision: String(fromRevision) })
     if (kind) query.set('kind', kind)
     let message = 'no control host was tried'
-    while (!progress.isOver()) {
+    while (!progress.isPastDeadline()) {
       const host = this._currentHost()
       try {
         const answer = await request(`http://${host}${operatorPaths.watch}?${query}`, { bodyTimeout: 0, signal: progress.scope.signal() })
@@ -121,7 +121,7 @@
 
   private async _requestControl (call: HttpCall, progress: Progress): Promise<HttpReply> {
     let reason = 'no control host was tried'
-    while (!progress.isOver()) {
+    while (!progress.isPastDeadline()) {
       const host = this._currentHost()
       const reply = await send(host, call, progress)
       if (reply.kind === 'reply' && !RETRIED_STATUSES.includes(reply.status)) return reply
--- a/src/cli/waitUntilInForce.ts
+++ b/src/cli/waitUntilInForce.ts
@@ -10,7 +10,7 @@
 export async function waitUntilInForce (context: CommandContext, revision: number): Promise<ExitCode> {
   const { client, progress, output } = context
   let laggingHosts: EntryHostStatus[] = []
-  while (!progress.isOver()) {
+  while (!progress.isPastDeadline()) {
     const answer = await client.status(progress)
     if (answer.kind === 'unreachable' && laggingHosts.length > 0) break
     if (answer.kind !== 'answered') return reportFailure(context, 'status', answer)
--- a/src/control/controlProgram.ts
+++ b/src/control/controlProgram.ts
@@ -29,7 +29,7 @@
 import { FollowerSessions } from './fleet/followerSessions.js'
 import { StoreFormation } from './fleet/storeFormation.js'
 import { UsageDuty, type UsageDutySettings } from './fleet/usageDuty.js'
-import { SilentHostRemoval } from './hosts/silentHosts.js'
+import { SilentHostRemoval } from './hosts/silentHostRemoval.js'
 import type { Infrastructure } from '../duties/infrastructure.js'
 import type { LedgersFactory } from './ledgers/ledgers.js'
 import { ClusterFormation, type FormationOptions, type InitialMember, type JoinCall } from '../replication/log/clusterFormation.js'
@@ -147,7 +147,7 @@
     const opened = await ReplicaStorage.open(disk, settings.host.hostId, () => random.id())
     const readMs = systemClock.nowMs() - readFromMs
     if (opened.damage !== undefined) logger.event(ReplicationEvent.StorageDamaged, { reason: opened.damage })
-    if (opened.loaded.tornBytes > 0) logger.event(ReplicationEvent.TornTailCut, { bytesCount: opened.loaded.tornBytes })
+    if (opened.loaded.tornBytes > 0) logger.event(ReplicationEvent.TornTailTruncated, { bytesCount: opened.loaded.tornBytes })
     const program = new ControlProgram(options, opened, readMs)
     await program._start()
     return program
@@ -170,7 +170,7 @@
   }
 
   /** Sets the hosts through which this host looks for the cluster from now on. */
-  askAt (initialMembers: InitialMember[]): void {
+  setInitialMembers (initialMembers: InitialMember[]): void {
     this._formationOptions.initialMembers = initialMembers
   }
 
--- a/src/control/fleet/endpointAnnouncements.ts
+++ b/src/control/fleet/endpointAnnouncements.ts
@@ -20,7 +20,7 @@
 import type { ControlNode } from '../controlNode.js'
 import type { LeaderCalls } from '../routing/leaderCalls.js'
 import type { EndpointDirectory } from './endpointDirectory.js'
-import { EndpointNews } from './endpointNews.js'
+import { EndpointUpdateKind } from './endpointUpdateKind.js'
 import type { FollowerSessions } from './followerSessions.js'
 
 /** A control host without contact to a leader for this long may be partitioned; it refuses leaves at once, so that the endpoint does not wait in vain. */
@@ -54,7 +54,7 @@
   async heartbeat (announced: FleetEndpoint, scope: Scope): Promise<AnnouncementOutcome> {
     const outcome = this._options.directory.heartbeat(announced)
     if (outcome.kind === 'changed') {
-      if (outcome.replaced) this._notifyFollowers(outcome.replaced, EndpointNews.Endpoint)
+      if (outcome.replaced) this._notifyFollowers(outcome.replaced, EndpointUpdateKind.Endpoint)
       this._notifyFollowers(outcome.endpoint, outcome.news)
     }
     const { name, bornAtMs, lifecycle } = announced
@@ -66,12 +66,12 @@
   async leave (name: string, bornAtMs: number | undefined, scope: Scope): Promise<AnnouncementOutcome> {
     const { directory } = this._options
     const left = directory.leave(name, bornAtMs)
-    if (left) this._notifyFollowers(left, EndpointNews.Endpoint)
-    return await this._confirmLeave({ name, bornAtMs: bornAtMs ?? directory.newestBornAtMs(name), lifecycle: EndpointLifecycle.Gone }, scope)
+    if (left) this._notifyFollowers(left, EndpointUpdateKind.Endpoint)
+    return await this._confirmLeave({ name, bornAtMs: bornAtMs ?? directory.newestBornAtMs(name), lifecycle: EndpointLifecycle.Removed }, scope)
   }
 
   /** Notifies the followers of this host at once, even if no quorum can confirm, so that fewer requests go to a leaving endpoint. */
-  private _notifyFollowers (endpoint: FleetEndpoint, updateKind: EndpointNews): void {
+  private _notifyFollowers (endpoint: FleetEndpoint, updateKind: EndpointUpdateKind): void {
     const { logger, followers } = this._options
     const { endpointId, service, sequence, lifecycle } = endpoint
     logger.event(ControlEvent.EndpointChanged, { endpointId, service, sequence, lifecycle: EndpointLifecycle[lifecycle], news: updateKind })
@@ -97,7 +97,7 @@
     const { clock, leaderCalls } = this._options
     if (!this._hasRecentLeader()) return { kind: 'unconfirmed', reason: `no contact to a leader for ${MAX_LEADERLESS_MS} ms` }
     const progress = new Progress(clock, scope, clock.nowMs() + COMMIT_TIMEOUT_MS)
-    const reply = await leaderCalls.submit({ kind: RoutingCommandKind.NoteLeave, leave: request }, progress)
+    const reply = await leaderCalls.submit({ kind: RoutingCommandKind.RecordLeave, leave: request }, progress)
     if (reply.kind !== 'committed') return { kind: 'unconfirmed', reason: 'reason' in reply ? reply.reason : 'no leader is known' }
     invariant('kind' in reply.result && reply.result.kind === 'leaveNoted', 'a committed leave command returns the recorded leave')
     return { kind: 'committed', leave: reply.result.leave }
@@ -106,6 +106,6 @@
   private _hasRecentLeader (): boolean {
     const { node, clock } = this._options
     if (node.isLeader) return true
-    return clock.nowMs() - node.replica.core.quietSinceMs < MAX_LEADERLESS_MS
+    return clock.nowMs() - node.replica.core.electionTimerStartedAtMs < MAX_LEADERLESS_MS
   }
 }
--- a/src/control/fleet/endpointDirectory.ts
+++ b/src/control/fleet/endpointDirectory.ts
@@ -8,8 +8,8 @@
 import { KnownLeaves, type EndpointLeave } from '../../protocol/endpointLeaves.js'
 import { EndpointLifecycle, type FleetEndpoint } from '../../protocol/fleet.js'
 import type { Clock } from '../../utils/clock.js'
-import type { NotedLeaves } from '../routing/notedLeaves.js'
-import { EndpointNews } from './endpointNews.js'
+import type { RecordedLeaves } from '../routing/recordedLeaves.js'
+import { EndpointUpdateKind } from './endpointUpdateKind.js'
 
 /** An endpoint is silent after this many missed heartbeats; crashes are detected earlier through failed calls. */
 const MAX_MISSED_HEARTBEATS_COUNT = 4
@@ -33,7 +33,7 @@
   /** The heartbeat is older than the record, or its endpoint has left. */
   | { kind: 'outdated' }
   /** @param replaced the earlier start of the endpoint, marked as left */
-  | { kind: 'changed', endpoint: FleetEndpoint, news: EndpointNews, replaced: FleetEndpoint | undefined }
+  | { kind: 'changed', endpoint: FleetEndpoint, news: EndpointUpdateKind, replaced: FleetEndpoint | undefined }
 
 export class EndpointDirectory {
   private readonly _clock: Clock
@@ -42,7 +42,7 @@
   private readonly _records = new Map<string, EndpointRecord>()
   /** When unknown endpoints announced their leave, by name. */
   private readonly _unknownLeavesMs = new Map<string, number>()
-  private readonly _recordedLeaves: Pick<NotedLeaves, 'since'>
+  private readonly _recordedLeaves: Pick<RecordedLeaves, 'since'>
   /** Leaves of the log up to `_lastAppliedNumber`. */
   private readonly _knownLeaves = new KnownLeaves()
   private _lastAppliedNumber = 0
@@ -51,7 +51,7 @@
    * @param heartbeatMs interval at which endpoints announce themselves
    * @param recordedLeaves leaves recorded in the replicated log
    */
-  constructor (clock: Clock, heartbeatMs: number, recordedLeaves: Pick<NotedLeaves, 'since'>) {
+  constructor (clock: Clock, heartbeatMs: number, recordedLeaves: Pick<RecordedLeaves, 'since'>) {
     this._clock = clock
     this._recordedLeaves = recordedLeaves
     this._silenceMs = MAX_MISSED_HEARTBEATS_COUNT * heartbeatMs
@@ -91,7 +91,7 @@
     const known = this._records.get(name)?.endpoint
     const isUnknown = !known || (bornAtMs !== undefined && bornAtMs > known.bornAtMs)
     if (isUnknown) this._unknownLeavesMs.set(name, this._clock.nowMs())
-    if (!known || known.lifecycle === EndpointLifecycle.Gone) return undefined
+    if (!known || known.lifecycle === EndpointLifecycle.Removed) return undefined
     if (bornAtMs !== undefined && bornAtMs < known.bornAtMs) return undefined
     const endpoint = markLeft(known)
     this._records.set(name, { endpoint, heardAtMs: this._clock.nowMs() })
@@ -104,7 +104,7 @@
     const nowMs = this._clock.nowMs()
     const expired: FleetEndpoint[] = []
     for (const [name, { endpoint, heardAtMs }] of this._records) {
-      const hasLeft = endpoint.lifecycle === EndpointLifecycle.Gone
+      const hasLeft = endpoint.lifecycle === EndpointLifecycle.Removed
       if (nowMs - heardAtMs < (hasLeft ? LEFT_RETENTION_MS : this._silenceMs)) continue
       this._records.delete(name)
       if (!hasLeft) expired.push(endpoint)
@@ -125,32 +125,32 @@
 
   private _applyLeave (leave: EndpointLeave): void {
     const known = this._records.get(leave.name)?.endpoint
-    this._knownLeaves.note(leave, known?.bornAtMs)
+    this._knownLeaves.record(leave, known?.bornAtMs)
     if (!known && leave.bornAtMs === undefined) this._unknownLeavesMs.set(leave.name, this._clock.nowMs())
-    if (!known || known.lifecycle === EndpointLifecycle.Gone) return
+    if (!known || known.lifecycle === EndpointLifecycle.Removed) return
     const lifecycle = Math.max(known.lifecycle, this._knownLeaves.lifecycleOf(known))
-    const endpoint = lifecycle === EndpointLifecycle.Gone ? markLeft(known) : { ...known, lifecycle }
+    const endpoint = lifecycle === EndpointLifecycle.Removed ? markLeft(known) : { ...known, lifecycle }
     this._records.set(leave.name, { endpoint, heardAtMs: this._clock.nowMs() })
   }
 
   private _isOutdated (announced: FleetEndpoint, newest: FleetEndpoint | undefined): boolean {
     const leftAtMs = this._unknownLeavesMs.get(announced.name)
     if (leftAtMs !== undefined && this._clock.nowMs() - leftAtMs < UNKNOWN_LEAVE_RETENTION_MS) return true
-    if (this._knownLeaves.lifecycleOf(announced) === EndpointLifecycle.Gone) return true
+    if (this._knownLeaves.lifecycleOf(announced) === EndpointLifecycle.Removed) return true
     if (!newest || announced.bornAtMs > newest.bornAtMs) return false
     if (announced.bornAtMs < newest.bornAtMs) return true
-    return newest.lifecycle === EndpointLifecycle.Gone || announced.sequence <= newest.sequence
+    return newest.lifecycle === EndpointLifecycle.Removed || announced.sequence <= newest.sequence
   }
 }
 
 /** A gap in the sequence means that another control host received heartbeats in between and may since have reported the endpoint as silent. */
-function updateKindOf (known: FleetEndpoint | undefined, announced: FleetEndpoint): EndpointNews | undefined {
+function updateKindOf (known: FleetEndpoint | undefined, announced: FleetEndpoint): EndpointUpdateKind | undefined {
   const isNext = known?.lifecycle === announced.lifecycle && announced.sequence === known.sequence + 1 && announced.address === known.address
-  if (!isNext) return EndpointNews.Endpoint
-  return JSON.stringify(announced.weights) === JSON.stringify(known.weights) ? undefined : EndpointNews.Weights
+  if (!isNext) return EndpointUpdateKind.Endpoint
+  return JSON.stringify(announced.weights) === JSON.stringify(known.weights) ? undefined : EndpointUpdateKind.Weights
 }
 
 /** The maximum sequence makes every later update about this start outdated. */
 function markLeft (endpoint: FleetEndpoint): FleetEndpoint {
-  return { ...endpoint, lifecycle: EndpointLifecycle.Gone, sequence: Number.MAX_SAFE_INTEGER }
+  return { ...endpoint, lifecycle: EndpointLifecycle.Removed, sequence: Number.MAX_SAFE_INTEGER }
 }
--- a/src/control/fleet/endpointNews.ts
+++ b/src/control/fleet/endpointUpdateKind.ts
@@ -3,7 +3,7 @@
  */
 
 /** What an announcement changes for followers. */
-export enum EndpointNews {
+export enum EndpointUpdateKind {
   /** Only the weight versions that the endpoint holds; only store hosts select endpoints by these. */
   Weights = 'weights',
   /** The endpoint is new, has a new address, leaves, or announced itself to another control host in between. */
--- a/src/control/fleet/followerSessions.ts
+++ b/src/control/fleet/followerSessions.ts
@@ -17,8 +17,8 @@
 import { ControlEvent } from '../controlEvents.js'
 import type { ControlNode } from '../controlNode.js'
 import type { EndpointDirectory } from './endpointDirectory.js'
-import { EndpointNews } from './endpointNews.js'
-import { HeardClocks } from './heardClocks.js'
+import { EndpointUpdateKind } from './endpointUpdateKind.js'
+import { HostClocks } from './hostClocks.js'
 import { HostChanges } from './hostChanges.js'
 import { pusherOf, RoutingDelivery } from './routingPush.js'
 
@@ -60,7 +60,7 @@
   private readonly _options: FollowerSessionsOptions
   private readonly _sessions = new Map<RpcPeer, Session>()
   private readonly _hostChanges = new HostChanges()
-  private readonly _clocks: HeardClocks
+  private readonly _clocks: HostClocks
   /** Lost hosts by id; a host is removed when it reconnects. */
   private readonly _lost = new Map<string, { host: FleetHost, lostAtMs: number }>()
   /** Followers that have not received the host list yet. */
@@ -71,7 +71,7 @@
 
   constructor (options: FollowerSessionsOptions) {
     this._options = options
-    this._clocks = new HeardClocks(options.clock)
+    this._clocks = new HostClocks(options.clock)
   }
 
   /** Hosts that follow this control host now. */
@@ -93,7 +93,7 @@
   }
 
   /** Store hosts that were disconnected recently and may be reconnecting. */
-  latelyLostStoreHosts (): FleetHost[] {
+  recentlyLostStoreHosts (): FleetHost[] {
     const sinceMs = this._options.clock.nowMs() - RECENTLY_LOST_MS
     for (const [hostId, { lostAtMs }] of this._lost) if (lostAtMs < sinceMs) this._lost.delete(hostId)
     return [...this._lost.values()].map(({ host }) => host).filter(({ role }) => role === HostRole.Store)
@@ -118,23 +118,23 @@
     if (needsFullUpdate) this._refreshState()
     const update = this._updateFor(session)
     const { routing } = this._options.node.state
-    if (routing.routing && session.routing.takeCall(request.routingVersion, routing.version)) update.routing = routing.routing
+    if (routing.routing && session.routing.recordCall(request.routingVersion, routing.version)) update.routing = routing.routing
     if (needsFullUpdate) update.endpoints = this._options.directory.all()
     return { controlAddresses: this._controlAddressesFor(session), isRoutingConfirmed, fleetWallMs: Math.round(this.wallMs()), update }
   }
 
   private _recordReport (hostId: string, { wallMs, usage }: FollowRequest): void {
-    if (wallMs !== undefined) this._clocks.learn(hostId, wallMs)
-    if (usage) this.usage.learn(hostId, usage)
+    if (wallMs !== undefined) this._clocks.record(hostId, wallMs)
+    if (usage) this.usage.addReport(hostId, usage)
   }
 
   /** Notifies the followers that need this kind of update about an endpoint. */
-  announce (endpoint: FleetEndpoint, updateKind: EndpointNews): void {
+  announce (endpoint: FleetEndpoint, updateKind: EndpointUpdateKind): void {
     const update = { endpoints: [endpoint] }
     switch (updateKind) {
-      case EndpointNews.Weights:
+      case EndpointUpdateKind.Weights:
         return this._notify(update, HostRole.Store)
-      case EndpointNews.Endpoint:
+      case EndpointUpdateKind.Endpoint:
         return this._notify(update)
       default:
         return unreachable(updateKind)
@@ -206,7 +206,7 @@
     this._newcomers = []
     for (const role of Object.values(HostRole)) {
       const peers = newcomers.filter(({ host }) => host.role === role).map(({ peer }) => peer)
-      if (peers.length > 0) RpcPeer.notifyAll(peers, fleetUpdateMethod, this._hostChanges.wholeFor(role))
+      if (peers.length > 0) RpcPeer.notifyAll(peers, fleetUpdateMethod, this._hostChanges.fullListFor(role))
     }
   }
 
@@ -248,7 +248,7 @@
   }
 
   private _pushToAll (): void {
-    for (const { follower, update } of this._hostChanges.take()) this._notify(update, follower)
+    for (const { follower, update } of this._hostChanges.takePending()) this._notify(update, follower)
     this._pushRouting()
     this._refreshState()
     for (const session of this._sessions.values()) {
@@ -261,7 +261,7 @@
   private _pushRouting (): void {
     const { routing, version } = this._options.node.state.routing
     if (!routing) return
-    const recipients = [...this._sessions.values()].filter(session => this._isPusherOf(session) && session.routing.takePush(version))
+    const recipients = [...this._sessions.values()].filter(session => this._isPusherOf(session) && session.routing.recordPush(version))
     RpcPeer.notifyAll(recipients.map(({ peer }) => peer), fleetUpdateMethod, { routing })
   }
 
--- a/src/control/fleet/hostChanges.ts
+++ b/src/control/fleet/hostChanges.ts
@@ -43,12 +43,12 @@
   }
 
   /** The full list, for a new follower. */
-  wholeFor (follower: HostRole): FleetUpdate {
+  fullListFor (follower: HostRole): FleetUpdate {
     return { hosts: this.all().filter(({ role }) => receivesUpdatesOf(follower, role)) }
   }
 
   /** The changes since the last call for the followers of each role; empty updates are omitted. */
-  take (): Array<{ follower: HostRole, update: FleetUpdate }> {
+  takePending (): Array<{ follower: HostRole, update: FleetUpdate }> {
     const changes = [...this._pending]
     this._pending.clear()
     return Object.values(HostRole).flatMap(follower => {
--- a/src/control/fleet/heardClocks.ts
+++ b/src/control/fleet/hostClocks.ts
@@ -14,7 +14,7 @@
   heardAtMs: number
 }
 
-export class HeardClocks {
+export class HostClocks {
   private readonly _clock: Clock
   private readonly _clocksByHost = new Map<string, HostClock>()
 
@@ -23,7 +23,7 @@
   }
 
   /** @param wallMs the time of day that the host sent with its call */
-  learn (hostId: string, wallMs: number): void {
+  record (hostId: string, wallMs: number): void {
     const heardAtMs = this._clock.nowMs()
     this._clocksByHost.set(hostId, { offsetMs: wallMs - heardAtMs, heardAtMs })
   }
--- a/src/control/fleet/routingPush.ts
+++ b/src/control/fleet/routingPush.ts
@@ -37,7 +37,7 @@
   private _nextDueVersion = Number.NEGATIVE_INFINITY
 
   /** Records a push; returns false if the version, or a newer one, has already been sent. */
-  takePush (version: number): boolean {
+  recordPush (version: number): boolean {
     if (version <= this._sentVersion) return false
     this._sentVersion = version
     return true
@@ -48,7 +48,7 @@
    * @param knownVersion version that the follower has; undefined before its first one
    * @returns whether the reply has to contain the configuration
    */
-  takeCall (knownVersion: number | undefined, version: number): boolean {
+  recordCall (knownVersion: number | undefined, version: number): boolean {
     const isOverdue = knownVersion === undefined || (knownVersion < version && knownVersion < this._dueVersion)
     this._dueVersion = this._nextDueVersion
     this._nextDueVersion = version
--- a/src/control/fleet/storeFormation.ts
+++ b/src/control/fleet/storeFormation.ts
@@ -10,7 +10,7 @@
 import type { RandomSource } from '../../utils/randomSource.js'
 import type { Scope } from '../../utils/scope.js'
 import { ControlEvent } from '../controlEvents.js'
-import { spreadOver, type ReplicaPlacement } from '../../replication/log/replicaPlacement.js'
+import { spreadOverDataCentres, type ReplicaPlacement } from '../../replication/log/replicaPlacement.js'
 import type { ControlNode } from '../controlNode.js'
 import type { FollowerSessions } from './followerSessions.js'
 
@@ -63,7 +63,7 @@
 
   private async _form (scope: Scope): Promise<void> {
     const { node, followers, clock, random, logger, placement } = this._options
-    const initialReplicas = spreadOver(followers.storeHosts(), placement.votersCount).flatMap(({ hostId, dataCentre, store }) => (
+    const initialReplicas = spreadOverDataCentres(followers.storeHosts(), placement.votersCount).flatMap(({ hostId, dataCentre, store }) => (
       store ? [{ replicaId: store.replicaId, hostId, peerAddress: store.peerAddress, dataCentre }] : []
     ))
     const group = { clusterId: random.id(), initialReplicas }
--- a/src/control/fleet/usageDuty.ts
+++ b/src/control/fleet/usageDuty.ts
@@ -72,7 +72,7 @@
 
   private async _reportUsage (leadership: Leadership, scope: Scope): Promise<void> {
     const { settings, infrastructure, node, followers, clock, logger, metrics } = this._options
-    await node.replica.whenCurrent(scope)
+    await node.replica.whenCaughtUp(scope)
     const ledger = node.state.usage
     const lease = new DutyLease({ clock, leadership, holder: settings.holder, latestHolder: () => ledger.holder, leaseMs: settings.leaseMs })
     const reporting = new UsageReporting({
--- a/src/control/fleet/weightNaming.ts
+++ b/src/control/fleet/weightNaming.ts
@@ -57,7 +57,7 @@
 
   private async _nameAtStore (weights: NamedWeights, progress: Progress): Promise<NamingOutcome> {
     let reason = 'no leader of the store is known'
-    while (!progress.isOver()) {
+    while (!progress.isPastDeadline()) {
       const address = this._storeLeaderAddress()
       if (address !== undefined) {
         const outcome = await this._options.links.to({ peerAddress: address }).call(nameWeightsMethod, weights, progress)
--- a/src/control/hosts/silentHosts.ts
+++ b/src/control/hosts/silentHostRemoval.ts
@@ -12,7 +12,7 @@
 import type { ControlNode } from '../controlNode.js'
 
 /** Much longer than a lease, so that a host that only lost its lease stays registered. */
-export const SILENCE_MS = 15_000
+export const HOST_SILENCE_TIMEOUT_MS = 15_000
 const REVIEW_INTERVAL_MS = 1_000
 
 export class SilentHostRemoval {
@@ -38,7 +38,7 @@
     for (const host of this._node.state.hosts.all()) {
       // For a new leader the time limit of every host starts with the term.
       const lastSeenAtMs = this._node.leases.get(host.hostId)?.renewedAtMs ?? this._node.leases.termSinceMs
-      if (this._clock.nowMs() - lastSeenAtMs < SILENCE_MS) continue
+      if (this._clock.nowMs() - lastSeenAtMs < HOST_SILENCE_TIMEOUT_MS) continue
       this._logger.event(ControlEvent.EntryHostSilent, { hostId: host.hostId })
       const progress = new Progress(this._clock, scope, this._clock.nowMs() + REVIEW_INTERVAL_MS)
       await this._node.submit({ kind: HostCommandKind.Remove, hostId: host.hostId, incarnation: host.incarnation }, progress)
--- a/src/control/ledgers/rolloutLedger.ts
+++ b/src/control/ledgers/rolloutLedger.ts
@@ -7,7 +7,7 @@
  * ahead, one number per prompt for the forecast, and counters. A step is removed
  * when the trainer holds all of it and pulls the next one.
  */
-import { RolloutCommandKind, SampleDropReason, type HeldSample, type JobOutlook, type LeasedSlot, type RolloutCommand, type RolloutCommandOf, type RolloutResult } from '../../protocol/rolloutCommands.js'
+import { RolloutCommandKind, SampleDropReason, type HeldSample, type JobStatus, type LeasedSlot, type RolloutCommand, type RolloutCommandOf, type RolloutResult } from '../../protocol/rolloutCommands.js'
 import type { RolloutJobSpec } from '../../protocol/resources.js'
 import type { RolloutProgress } from '../../protocol/rolloutProgress.js'
 import type { ApplyContext, StatePart } from '../../replication/replicatedState.js'
@@ -106,7 +106,7 @@
   private _releaseUnlisted (hostId: string, listedAttemptIds: Set<string>): Set<string> {
     const owned = new Set<string>()
     for (const state of Object.values(this._state.jobs)) {
-      releaseWhere(state, attempt => attempt.hostId === hostId && !listedAttemptIds.has(attempt.attemptId), SampleDropReason.GivenUp)
+      releaseWhere(state, attempt => attempt.hostId === hostId && !listedAttemptIds.has(attempt.attemptId), SampleDropReason.Abandoned)
       for (const slot of allStates(state)) {
         for (const attempt of slot.attempts) if (attempt.hostId === hostId) owned.add(attempt.attemptId)
       }
@@ -125,7 +125,7 @@
     return held
   }
 
-  private _outlooks (): JobOutlook[] {
+  private _outlooks (): JobStatus[] {
     return Object.values(this._state.jobs).flatMap(state => {
       const spec = this._specOf(state.job)
       return spec ? [outlookOf(state, spec)] : []
--- a/src/control/ledgers/rollouts/slotLeasing.ts
+++ b/src/control/ledgers/rollouts/slotLeasing.ts
@@ -5,7 +5,7 @@
  * bound at delivery.
  */
 import type { RolloutJobSpec } from '../../../protocol/resources.js'
-import type { JobOutlook, LeasedSlot, WantedSlots } from '../../../protocol/rolloutCommands.js'
+import type { JobStatus, LeasedSlot, SlotRequest } from '../../../protocol/rolloutCommands.js'
 import type { Forecast } from './forecast.js'
 import { isWaiting, openStep, slotsOf, statesOf, type JobState, type SlotEntry, type StepState } from './jobState.js'
 
@@ -61,7 +61,7 @@
   forecast: Forecast
 }
 
-export function leaseSlots (state: JobState, spec: RolloutJobSpec, wanted: WantedSlots, lessee: Lessee): LeasedSlot[] {
+export function leaseSlots (state: JobState, spec: RolloutJobSpec, wanted: SlotRequest, lessee: Lessee): LeasedSlot[] {
   if (spec.paused) return []
   const leased: LeasedSlot[] = []
   let aheadCount = wanted.maxAheadCount
@@ -94,7 +94,7 @@
   }
 }
 
-export function outlookOf (state: JobState, spec: RolloutJobSpec): JobOutlook {
+export function outlookOf (state: JobState, spec: RolloutJobSpec): JobStatus {
   const count = (step: StepState): number => statesOf(step).filter(isWaiting).length
   const startable = spec.paused ? [] : state.steps.filter(({ step }) => mayStart(state, spec, step))
   const current = startable.filter(({ step }) => step === state.step)
--- a/src/control/operatorApi/quarantineCalls.ts
+++ b/src/control/operatorApi/quarantineCalls.ts
@@ -2,7 +2,7 @@
  * Operator calls for the quarantine: list the requests that were running when
  * endpoints ended, and release one of them.
  */
-import { quarantineNoticeSchema } from '../../protocol/quarantine.js'
+import { quarantineEntrySchema } from '../../protocol/quarantine.js'
 import { RoutingCommandKind } from '../../protocol/routingCommands.js'
 import type { Progress } from '../../utils/progress.js'
 import type { ControlNode } from '../controlNode.js'
@@ -32,7 +32,7 @@
 
   /** Releases a request; its next end counts as the first. */
   async lift (digest: string, progress: Progress): Promise<QuarantineCallOutcome> {
-    if (!quarantineNoticeSchema.shape.digest.safeParse(digest).success) return { kind: 'malformedDigest' }
+    if (!quarantineEntrySchema.shape.digest.safeParse(digest).success) return { kind: 'malformedDigest' }
     const listed = await this.list(progress)
     if (listed.kind !== 'done') return listed
     if (!this._node.state.routing.ends.all().some(notice => notice.digest === digest)) return { kind: 'unknownDigest' }
--- a/src/control/resources/resourceStore.ts
+++ b/src/control/resources/resourceStore.ts
@@ -6,7 +6,7 @@
 import { specSchemas, type Resource, type ResourceKind, type ResourceOf } from '../../protocol/resources.js'
 import type { ApplyContext, StatePart } from '../../replication/replicatedState.js'
 import type { ChangeHistory } from './changeHistory.js'
-import { ChangeOutcomes, type ChangeOutcome } from './rememberedChanges.js'
+import { ChangeOutcomes, type ChangeOutcome } from './changeOutcomes.js'
 
 /** Read access to resources by kind and name, for other parts of the replicated state. */
 export interface ResourceLookup {
--- a/src/control/routing/leaderCalls.ts
+++ b/src/control/routing/leaderCalls.ts
@@ -24,7 +24,7 @@
   /** Commits a command. All commands that pass here are idempotent, so a call whose reply is lost is repeated. */
   async submit (command: RoutingCommand, progress: Progress): Promise<SubmitReply> {
     let last: SubmitReply = { kind: 'notCommitted', reason: 'no leader is known' }
-    while (!progress.isOver()) {
+    while (!progress.isPastDeadline()) {
       const reply = await this._submitOnce(command, progress)
       if (reply.kind === 'committed') return reply
       if (reply.kind !== 'notLeader') last = reply
@@ -36,7 +36,7 @@
   /** Waits until this host's state is recent enough for a linearizable read. */
   async read (progress: Progress): Promise<ReadOutcome> {
     let last: ReadOutcome = { kind: 'unavailable', reason: 'no leader is known' }
-    while (!progress.isOver()) {
+    while (!progress.isPastDeadline()) {
       const outcome = await this._readOnce(progress)
       if (outcome.kind === 'confirmed') return outcome
       if (outcome.kind !== 'notLeader') last = outcome
--- a/src/control/routing/notedEnds.ts
+++ b/src/control/routing/quarantineState.ts
@@ -9,7 +9,7 @@
  * another request, unless all ends of the other are among those of the condemned
  * one: then the two cannot be told apart, and both are withheld.
  */
-import { CONDEMNING_ENDS_COUNT, QUARANTINE_MS, QuarantineVerdict, type EndedEndpoint, type QuarantineNotice } from '../../protocol/quarantine.js'
+import { QUARANTINE_THRESHOLD_COUNT, QUARANTINE_MS, QuarantineVerdict, type EndedEndpoint, type QuarantineEntry } from '../../protocol/quarantine.js'
 
 /** Limit of recorded requests, about 150 bytes each. Most suspected requests are never sent again. */
 const MAX_SUSPECTS_COUNT = 1_024
@@ -30,16 +30,16 @@
 
 export interface QuarantineSnapshot {
   suspects: Suspect[]
-  notices: QuarantineNotice[]
+  notices: QuarantineEntry[]
   lastNumber: number
   condemnedCount: number
 }
 
-export class NotedEnds {
+export class QuarantineState {
   /** By digest; the request with the least recent end comes first. */
   private _suspects = new Map<string, Suspect>()
   /** The newest notice about each request, by digest, in the order of their numbers. */
-  private _notices = new Map<string, QuarantineNotice>()
+  private _notices = new Map<string, QuarantineEntry>()
   private _lastNumber = 0
   private _condemnedCount = 0
 
@@ -64,12 +64,12 @@
   }
 
   /** Notices with a higher number, in order. */
-  since (number: number): QuarantineNotice[] {
+  since (number: number): QuarantineEntry[] {
     return [...this._notices.values()].filter(notice => notice.number > number)
   }
 
   /** Notices of all requests that are suspected or condemned now, the latest last. */
-  all (): QuarantineNotice[] {
+  all (): QuarantineEntry[] {
     return this.since(0).filter(({ verdict }) => verdict !== QuarantineVerdict.Cleared)
   }
 
@@ -91,7 +91,7 @@
     const isForgotten = known !== undefined && !this._isCondemned(known) && atMs - known.endedAtMs > QUARANTINE_MS
     const suspect: Suspect = known && !isForgotten ? known : { digest, endpointIds: [], endedAtMs: atMs }
     const endpointIds = [...suspect.endpointIds, endpointId].slice(-MAX_RECORDED_ENDS_COUNT)
-    const condemnedAtCount = suspect.condemnedAtCount ?? (endpointIds.length >= CONDEMNING_ENDS_COUNT ? this._condemnedCount++ : undefined)
+    const condemnedAtCount = suspect.condemnedAtCount ?? (endpointIds.length >= QUARANTINE_THRESHOLD_COUNT ? this._condemnedCount++ : undefined)
     this._suspects.delete(digest)
     this._suspects.set(digest, { digest, endpointIds, endedAtMs: atMs, condemnedAtCount })
     this._evictOldest()
@@ -116,7 +116,7 @@
     return ![...this._suspects.values()].some(other => other !== suspect && accountsFor(other, suspect))
   }
 
-  private _publish (notice: Omit<QuarantineNotice, 'number'>): void {
+  private _publish (notice: Omit<QuarantineEntry, 'number'>): void {
     this._notices.delete(notice.digest)
     this._notices.set(notice.digest, { ...notice, number: ++this._lastNumber })
     const [oldest] = this._notices.keys()
@@ -127,7 +127,7 @@
   private _evictOldest (): void {
     if (this._suspects.size <= MAX_SUSPECTS_COUNT) return
     const suspects = [...this._suspects.values()]
-    const oldest = suspects.find(({ endpointIds }) => endpointIds.length < CONDEMNING_ENDS_COUNT) ?? suspects[0]
+    const oldest = suspects.find(({ endpointIds }) => endpointIds.length < QUARANTINE_THRESHOLD_COUNT) ?? suspects[0]
     if (oldest) this._suspects.delete(oldest.digest)
   }
 }
@@ -142,6 +142,6 @@
   if (other.condemnedAtCount === undefined || suspect.condemnedAtCount === undefined) return false
   const ownCount = suspect.endpointIds.filter(endpointId => !other.endpointIds.includes(endpointId)).length
   if (ownCount === 0) return other.endpointIds.length > suspect.endpointIds.length
-  const sharesMost = suspect.endpointIds.length - ownCount >= CONDEMNING_ENDS_COUNT - 1 && ownCount < CONDEMNING_ENDS_COUNT
+  const sharesMost = suspect.endpointIds.length - ownCount >= QUARANTINE_THRESHOLD_COUNT - 1 && ownCount < QUARANTINE_THRESHOLD_COUNT
   return sharesMost && other.endpointIds.length >= suspect.endpointIds.length && other.condemnedAtCount < suspect.condemnedAtCount
 }
--- a/src/control/routing/notedLeaves.ts
+++ b/src/control/routing/recordedLeaves.ts
@@ -12,7 +12,7 @@
  */
 const MAX_LEAVES_COUNT = 1_024
 
-export class NotedLeaves {
+export class RecordedLeaves {
   /** In ascending order of their numbers. */
   private _leaves: EndpointLeave[] = []
 
@@ -26,7 +26,7 @@
   }
 
   /** Records a leave. A repeated request, also through another control host, returns the leave that was recorded first. */
-  note (request: EndpointLeaveRequest): EndpointLeave {
+  record (request: EndpointLeaveRequest): EndpointLeave {
     const recorded = this.find(request)
     if (recorded) return recorded
     const leave = { ...request, number: this.lastNumber + 1 }
--- a/src/control/routing/routingState.ts
+++ b/src/control/routing/routingState.ts
@@ -9,8 +9,8 @@
   RetirementState, RoutingCommandKind, type NamedWeights, type Retirement, type RoutingCommand, type RoutingResult, type StoreGroup
 } from '../../protocol/routingCommands.js'
 import type { ApplyContext, StatePart } from '../../replication/replicatedState.js'
-import { NotedEnds, type QuarantineSnapshot } from './notedEnds.js'
-import { NotedLeaves } from './notedLeaves.js'
+import { QuarantineState, type QuarantineSnapshot } from './quarantineState.js'
+import { RecordedLeaves } from './recordedLeaves.js'
 
 interface RoutingSnapshot {
   routing: Routing | undefined
@@ -31,8 +31,8 @@
   /** The routing configuration as the operator sent it. */
   document: string | undefined
   storeGroup: StoreGroup | undefined
-  readonly leaves = new NotedLeaves()
-  readonly ends = new NotedEnds()
+  readonly leaves = new RecordedLeaves()
+  readonly ends = new QuarantineState()
   private readonly _weights = new Map<string, number>()
   private readonly _retirements = new Map<string, Retirement>()
 
@@ -61,15 +61,15 @@
       case RoutingCommandKind.FormStore:
         this.storeGroup ??= command.group
         return { kind: 'storeFormed' }
-      case RoutingCommandKind.BeginRetirement:
+      case RoutingCommandKind.StartRetirement:
         this._startRetirement(command.hostName, command.hostId)
         return { kind: 'retirementHeld' }
       case RoutingCommandKind.EndRetirement:
         this._endRetirement(command.hostName)
         return { kind: 'retirementHeld' }
-      case RoutingCommandKind.NoteLeave:
-        return { kind: 'leaveNoted', leave: this.leaves.note(command.leave) }
-      case RoutingCommandKind.NoteEnds:
+      case RoutingCommandKind.RecordLeave:
+        return { kind: 'leaveNoted', leave: this.leaves.record(command.leave) }
+      case RoutingCommandKind.RecordEnds:
         this.ends.record(command.ends, atMs)
         return { kind: 'quarantineHeld' }
       case RoutingCommandKind.ClearSuspects:
--- a/src/controlClient/configurationLease.ts
+++ b/src/controlClient/configurationLease.ts
@@ -5,7 +5,7 @@
  * renewal request is sent, measured by a local clock that includes suspensions.
  */
 import { HostCommandKind, type EntryHost } from '../protocol/hostCommands.js'
-import type { ChangesNotice, RenewReply } from '../protocol/controlMessages.js'
+import type { ChangesNotification, RenewReply } from '../protocol/controlMessages.js'
 import { renewMethod } from '../transport/controlMethods.js'
 import type { Clock } from '../utils/clock.js'
 import { MetricName } from '../utils/metricNames.js'
@@ -91,7 +91,7 @@
   }
 
   /** Applies changes that the leader pushes. */
-  onChanges (notice: ChangesNotice): void {
+  onChanges (notice: ChangesNotification): void {
     if (notice.clusterId !== this._clusterId) return
     this._options.configuration.applyChanges(notice.changes)
     this._reportRevision()
--- a/src/controlClient/controlClient.ts
+++ b/src/controlClient/controlClient.ts
@@ -36,7 +36,7 @@
   /** True while this host may accept new work under its configuration. */
   holdsLease (): boolean
   /** Waits for a lease renewal if a suspension of this machine has just ended the lease; returns at once otherwise. */
-  settleLease (scope: Scope): Promise<void>
+  awaitLeaseRenewal (scope: Scope): Promise<void>
   submit<C extends Command> (command: C, progress: Progress): Promise<SubmitOutcome<CommandResult<C>>>
   /** A linearizable read. */
   query<Q extends Query> (query: Q, progress: Progress): Promise<QueryOutcome<QueryResult<Q>>>
--- a/src/controlClient/networkControlClient.ts
+++ b/src/controlClient/networkControlClient.ts
@@ -71,7 +71,7 @@
     return this._lease.isHeld()
   }
 
-  async settleLease (scope: Scope): Promise<void> {
+  async awaitLeaseRenewal (scope: Scope): Promise<void> {
     await this._lease.awaitRenewal(scope)
   }
 
@@ -85,7 +85,7 @@
   async submit<C extends Command> (command: C, progress: Progress): Promise<SubmitOutcome<CommandResult<C>>> {
     let mayBeInLog = false
     let reason = 'deadline passed'
-    while (!progress.isOver()) {
+    while (!progress.isPastDeadline()) {
       const outcome = await this._trySubmit(command, progress)
       if (outcome.kind === 'committed') return outcome
       if (outcome.kind === 'unknown') mayBeInLog = true
@@ -98,7 +98,7 @@
 
   async query<Q extends Query> (query: Q, progress: Progress): Promise<QueryOutcome<QueryResult<Q>>> {
     let reason = 'deadline passed'
-    while (!progress.isOver()) {
+    while (!progress.isPastDeadline()) {
       const outcome = await this._tryQuery(query, progress)
       if (outcome.kind === 'answered') return outcome
       reason = outcome.reason
@@ -144,7 +144,7 @@
   }
 
   private _attemptProgress (progress: Progress): Progress {
-    return progress.before(this._options.clock.nowMs() + ATTEMPT_TIMEOUT_MS)
+    return progress.withDeadline(this._options.clock.nowMs() + ATTEMPT_TIMEOUT_MS)
   }
 
   private async _pause (progress: Progress): Promise<void> {
--- a/src/duties/infrastructure.ts
+++ b/src/duties/infrastructure.ts
@@ -17,7 +17,7 @@
   | { kind: DutyKind.OrderEndpoints, service: string, dataCentre: string, isReclaimable: boolean, desiredCount: number }
 
 /** The host that makes a call. */
-export interface DutyStanding {
+export interface DutyHolder {
   /** Name of the host. */
   holder: string
   /** Increases with every host that takes over the duty; never shared by two hosts. */
@@ -42,5 +42,5 @@
   /**
    * @param mayAct checked immediately before the request is written: connecting may have taken longer than the duty lasted
    */
-  call: (call: DutyCall, standing: DutyStanding, mayAct: () => boolean, deadlineMs: number, scope: Scope) => Promise<DutyOutcome>
+  call: (call: DutyCall, standing: DutyHolder, mayAct: () => boolean, deadlineMs: number, scope: Scope) => Promise<DutyOutcome>
 }
--- a/src/duties/usageTally.ts
+++ b/src/duties/usageTally.ts
@@ -15,7 +15,7 @@
   private readonly _reported = new Map<string, Map<string, ReportedUsage>>()
   private _discardedBefore = Number.NEGATIVE_INFINITY
 
-  learn (hostId: string, { incarnation, settledBefore, windows }: UsageReport): void {
+  addReport (hostId: string, { incarnation, settledBefore, windows }: UsageReport): void {
     const starts = this._reported.get(hostId) ?? new Map<string, ReportedUsage>()
     const reported = starts.get(incarnation) ?? { settledBefore, windows: new Map<number, Record<string, number>>() }
     reported.settledBefore = settledBefore
--- a/src/endpoints/endpointClient.ts
+++ b/src/endpoints/endpointClient.ts
@@ -72,7 +72,7 @@
 }
 
 /** Receives a streamed answer as it arrives. */
-export interface StreamListener {
+export interface StreamHandler {
   onHead: (head: StreamHead) => void
   /** Resolves when more data may follow (backpressure); resolves with a reason when the stream must be aborted. */
   onData: (chunk: Uint8Array) => Promise<string | undefined>
@@ -157,7 +157,7 @@
   /** Sends a request and reads the complete answer. */
   call: (request: EndpointRequest, scope: Scope) => Promise<EndpointOutcome>
   /** Sends a request and, if the answer is a stream, passes it on as it arrives. */
-  stream: (request: StreamedRequest, scope: Scope, listener: StreamListener) => Promise<StreamOutcome>
+  stream: (request: StreamedRequest, scope: Scope, listener: StreamHandler) => Promise<StreamOutcome>
   /** Runs a rollout item; calls `onEvent` as the endpoint generates events. */
   runItem: (request: ItemRequest, scope: Scope, onEvent: (event: ItemEvent) => void) => Promise<ItemOutcome>
   /** Queries the state of the endpoint; undefined when it does not answer in time. */
@@ -166,5 +166,5 @@
   isListening: (endpoint: FleetEndpoint, deadlineMs: number, scope: Scope) => Promise<Listening>
   orderLoad: (endpoint: FleetEndpoint, order: LoadOrder, deadlineMs: number, scope: Scope) => Promise<OrderOutcome>
   /** Closes connections to all endpoints that are not in the set. */
-  keepOnly: (endpointIds: ReadonlySet<string>) => void
+  closeAllExcept: (endpointIds: ReadonlySet<string>) => void
 }
--- a/src/endpoints/endpointHealth.ts
+++ b/src/endpoints/endpointHealth.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../utils/clock.js'
 import type { ReportedLoad } from './endpointClient.js'
-import { CircuitBreaker } from './suspicion.js'
+import { CircuitBreaker } from './circuitBreaker.js'
 
 /** Pause after a refusal for lack of a free slot, which lasts only briefly. */
 const FULL_PAUSE_MS = 40
@@ -76,7 +76,7 @@
   }
 
   /** The ejection is over but the endpoint has not yet proven healthy: one request at a time probes it (half-open circuit breaker). */
-  get isOnTrial (): boolean {
+  get isHalfOpen (): boolean {
     return this._connectionBreaker.failuresCount + this._errorBreaker.failuresCount > 0 && !this.isSuspect
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** Whether its failures allow another request to be started there. */
-  get isOpen (): boolean {
+  get isAvailable (): boolean {
     return !this._connectionBreaker.isProbeRunning && !this._errorBreaker.isProbeRunning && !this.isSuspect
   }
 
@@ -129,14 +129,14 @@
 
   /** Records a complete answer without an error. */
   succeeded (durationMs: number, load: ReportedLoad | undefined): void {
-    this.worked()
+    this.responded()
     this.accepted()
     this.recordDuration(durationMs)
     this.recordLoad(load)
   }
 
   /** Records any data received from the endpoint: it is reachable and runs requests. */
-  worked (): void {
+  responded (): void {
     if (this._connectionBreaker.reset()) this._options.onReinstated?.()
   }
 
@@ -196,13 +196,13 @@
   }
 
   /** Records that its address refused a connection. */
-  refused (startedAtMs: number): void {
+  refusedConnection (startedAtMs: number): void {
     this.failed(FailureReason.Unreached, startedAtMs)
     this._refusedUntilMs = this._clock.nowMs() + REFUSED_PAUSE_MS
   }
 
   /** Records that it rejected a request because no slot was free. */
-  wasFull (load: ReportedLoad | undefined): void {
+  rejectedAsFull (load: ReportedLoad | undefined): void {
     this._fullUntilMs = this._clock.nowMs() + FULL_PAUSE_MS
     this.recordLoad(load)
   }
--- a/src/endpoints/endpointPool.ts
+++ b/src/endpoints/endpointPool.ts
@@ -92,7 +92,7 @@
     const untried = all.filter(({ endpointId }) => !tried.has(endpointId))
     const safe = untried.filter(({ endpointId }) => !risky.has(endpointId))
     const candidates = [safe, untried, all].find(({ length }) => length > 0) ?? []
-    const open = candidates.filter(({ endpointId }) => this.health(endpointId).isOpen)
+    const open = candidates.filter(({ endpointId }) => this.health(endpointId).isAvailable)
     if (open.length > 0) return this._lowest(open, endpoint => this._expectedMs(endpoint))
     const listening = candidates.filter(({ endpointId }) => !this.health(endpointId).isRefusing)
     return this._lowest(listening.length > 0 ? listening : candidates, ({ endpointId }) => this.health(endpointId).ejectedUntilMs)
--- a/src/endpoints/failureAccount.ts
+++ b/src/endpoints/failureAttribution.ts
@@ -9,7 +9,7 @@
 /** The only status that means the endpoint ran the request and failed; a 504 means that the deadline passed. */
 const FAILED_STATUS = 500
 
-export class FailureAccount {
+export class FailureAttribution {
   /** Returns the key that identifies the request in all of its tries; computed only when a try fails. */
   private readonly _requestKeyOf: () => string
   private readonly _failedAt = new Set<string>()
@@ -38,11 +38,11 @@
   /** Records that an endpoint answered the request, which was sent to it at `startedAtMs`, with an error. */
   note (endpointId: string, health: EndpointHealth, startedAtMs: number, status: number): void {
     if (status === FAILED_STATUS) this._failuresCount++
-    this.noteUnbegun(endpointId, health, startedAtMs)
+    this.notStarted(endpointId, health, startedAtMs)
   }
 
   /** Records that an endpoint accepted the request and did not start it: not an error answer, but it counts the same for the choice of an endpoint. */
-  noteUnbegun (endpointId: string, health: EndpointHealth, startedAtMs: number): void {
+  notStarted (endpointId: string, health: EndpointHealth, startedAtMs: number): void {
     const requestKey = this._requestKeyOf()
     const isFirst = this._failedAt.size === 0
     const isOther = !isFirst && !this._failedAt.has(endpointId)
@@ -57,7 +57,7 @@
   }
 
   /** Records that an endpoint has started the request without an error, or has completed it. */
-  settled (endpointId: string): void {
+  accepted (endpointId: string): void {
     if (!this._suspected) return
     const isOther = !this._failedAt.has(endpointId)
     if (isOther) this._suspected.servedElsewhere(this._requestKeyOf())
--- a/src/entry/advice/adviceRoute.ts
+++ b/src/entry/advice/adviceRoute.ts
@@ -7,7 +7,7 @@
 import { callerPaths, type Advice } from '../../protocol/callers.js'
 import type { RandomSource } from '../../utils/randomSource.js'
 import type { HostState, HostStates } from '../directory/hostStates.js'
-import type { ResponseWriter } from '../http/answers.js'
+import type { ResponseWriter } from '../http/responseWriter.js'
 import type { Exchange, Route } from '../http/route.js'
 
 const NEAR_HOSTS_COUNT = 3
--- a/src/entry/completions/completionRoute.ts
+++ b/src/entry/completions/completionRoute.ts
@@ -9,7 +9,7 @@
 import { Executed, RefusalReason, type Refusal } from '../../protocol/refusals.js'
 import { EndpointKind, ResourceKind } from '../../protocol/resources.js'
 import { callerOf } from '../http/callerIdentity.js'
-import type { ResponseWriter } from '../http/answers.js'
+import type { ResponseWriter } from '../http/responseWriter.js'
 import { parseJson, readBody } from '../http/requestBody.js'
 import type { Exchange, Route } from '../http/route.js'
 import type { CompletionOutcome, CompletionTask } from './completionRunner.js'
--- a/src/entry/completions/engineCompletions.ts
+++ b/src/entry/completions/engineCompletions.ts
@@ -16,7 +16,7 @@
 import { EntryEvent } from '../entryEvents.js'
 import type { RequestJournal } from '../http/requestJournal.js'
 import type { Assignment, AttemptResult, Scheduler } from '../scheduling/scheduler.js'
-import { ChunkAssembler } from './chunkAssembly.js'
+import { ChunkAssembler } from './chunkAssembler.js'
 import type { CompletionOutcome, CompletionRunner, CompletionTask, TokenSink } from './completionRunner.js'
 import { ReadDecision, streamFromEngine, type AttemptOutcome } from './engineStream.js'
 
--- a/src/entry/directory/announcements.ts
+++ b/src/entry/directory/announcements.ts
@@ -8,7 +8,7 @@
 import { announcementSchema, type Announcement, type AnnouncementReply } from '../../protocol/endpoints.js'
 import { callerPaths } from '../../protocol/callers.js'
 import { Executed, RefusalReason } from '../../protocol/refusals.js'
-import type { ResponseWriter } from '../http/answers.js'
+import type { ResponseWriter } from '../http/responseWriter.js'
 import { parseJson, readBody } from '../http/requestBody.js'
 import type { Exchange, Route } from '../http/route.js'
 import type { Gossip } from './gossip.js'
@@ -27,7 +27,7 @@
   store: RecordStore
   gossip: Gossip
   hosts: HostStates
-  answers: ResponseWriter
+  responseWriter: ResponseWriter
   endpointLeaseMs: number
 }
 
@@ -63,7 +63,7 @@
   }
 
   private async _handle (exchange: Exchange): Promise<void> {
-    const { answers } = this._options
+    const { responseWriter: answers } = this._options
     const read = await readBody(exchange, MAX_ANNOUNCEMENT_BYTES)
     if (read.kind === 'refused') return answers.refuse(exchange, read.refusal)
     const parsed = announcementSchema.safeParse(parseJson(read.body))
--- a/src/entry/entryProgram.ts
+++ b/src/entry/entryProgram.ts
@@ -31,7 +31,7 @@
 import type { LiveDirectory } from './directory/liveDirectory.js'
 import { EntryEvent } from './entryEvents.js'
 import type { EntrySettings } from './entrySettings.js'
-import { ResponseWriter } from './http/answers.js'
+import { ResponseWriter } from './http/responseWriter.js'
 import { HttpServer } from './http/httpServer.js'
 import { RequestJournal } from './http/requestJournal.js'
 import type { Route } from './http/route.js'
@@ -185,7 +185,7 @@
       store: this._fleet.store,
       gossip: this._fleet.gossip,
       hosts: this._fleet.hosts,
-      answers: this._responseWriter,
+      responseWriter: this._responseWriter,
       endpointLeaseMs: this._settings.limits.endpointLeaseMs
     })
   }
@@ -251,7 +251,7 @@
       limits: this._settings.limits,
       routes,
       refusalOf: route => this._refusalOf(route),
-      settleLease: scope => this._environment.control.settleLease(scope),
+      settleLease: scope => this._environment.control.awaitLeaseRenewal(scope),
       onFatal: (task, error) => this._onFatal(task, error)
     })
   }
--- a/src/entry/http/httpServer.ts
+++ b/src/entry/http/httpServer.ts
@@ -17,7 +17,7 @@
 import { parseAddress } from '../../utils/settings.js'
 import type { FatalHandler } from '../../utils/supervisor.js'
 import type { EntryLimits } from '../entrySettings.js'
-import type { ResponseWriter } from './answers.js'
+import type { ResponseWriter } from './responseWriter.js'
 import type { RequestJournal } from './requestJournal.js'
 import { ANY_METHOD, type Exchange, type Route } from './route.js'
 
--- a/src/entry/operators/operatorRoutes.ts
+++ b/src/entry/operators/operatorRoutes.ts
@@ -3,7 +3,7 @@
  * attempts, and draining of the host or of an endpoint.
  */
 import { operatorPaths } from '../../protocol/operators.js'
-import type { ResponseWriter } from '../http/answers.js'
+import type { ResponseWriter } from '../http/responseWriter.js'
 import type { RequestJournal } from '../http/requestJournal.js'
 import type { Exchange, Route } from '../http/route.js'
 import { decodePathSegment } from '../../utils/urlPath.js'
--- a/src/entry/rollouts/jobOutlooks.ts
+++ b/src/entry/rollouts/jobOutlooks.ts
@@ -3,28 +3,28 @@
  * ledger decides by its own state.
  */
 import type { RolloutJobSpec } from '../../protocol/resources.js'
-import type { JobOutlook } from '../../protocol/rolloutCommands.js'
+import type { JobStatus } from '../../protocol/rolloutCommands.js'
 
 export class JobOutlooks {
   private readonly _listeners: Array<() => void> = []
-  private readonly _byJob = new Map<string, JobOutlook>()
+  private readonly _byJob = new Map<string, JobStatus>()
 
   /** Calls back when a newer version was published for a job. */
   onChange (listener: () => void): void {
     this._listeners.push(listener)
   }
 
-  update (outlooks: JobOutlook[]): void {
+  update (outlooks: JobStatus[]): void {
     const hasNewer = outlooks.some(({ job, publishedVersion }) => publishedVersion > (this._byJob.get(job)?.publishedVersion ?? 0))
     for (const outlook of outlooks) this._byJob.set(outlook.job, outlook)
     if (hasNewer) for (const listener of this._listeners) listener()
   }
 
-  get (job: string): JobOutlook | undefined {
+  get (job: string): JobStatus | undefined {
     return this._byJob.get(job)
   }
 
-  all (): JobOutlook[] {
+  all (): JobStatus[] {
     return [...this._byJob.values()]
   }
 
--- a/src/entry/rollouts/pullServer.ts
+++ b/src/entry/rollouts/pullServer.ts
@@ -13,7 +13,7 @@
 import type { LedgerClient } from './ledgerClient.js'
 import { RolloutEvent } from './rolloutEvents.js'
 import type { SampleContent } from './rolloutMethods.js'
-import type { RolloutContext } from './rolloutParts.js'
+import type { RolloutContext } from './rolloutContext.js'
 import type { SampleReplication } from './sampleReplication.js'
 import { WakeSignal } from './wakeSignal.js'
 
@@ -80,7 +80,7 @@
       const missing = deliverable.filter(({ attemptId }) => !contents.has(attemptId))
       const isAvailable = missing.length === 0 || await this._fetchMissing(missing, contents, progress)
       if (isAvailable && (deliverable.length > 0 || stepComplete)) return toReply(request, result, contents)
-      if (progress.isOver() || (isAvailable && clock.nowMs() >= waitUntilMs)) return emptyReply(request)
+      if (progress.isPastDeadline() || (isAvailable && clock.nowMs() >= waitUntilMs)) return emptyReply(request)
       if (isAvailable) await signal.wait(clock, progress.scope, Math.min(waitUntilMs, clock.nowMs() + POLL_INTERVAL_MS))
     }
   }
--- a/src/entry/rollouts/sampleReplication.ts
+++ b/src/entry/rollouts/sampleReplication.ts
@@ -9,7 +9,7 @@
 import type { LedgerClient } from './ledgerClient.js'
 import { RolloutEvent } from './rolloutEvents.js'
 import { fetchCheckpoint, fetchSamples, keepCheckpoint, keepSample, type Checkpoint, type SampleContent } from './rolloutMethods.js'
-import type { RolloutContext } from './rolloutParts.js'
+import type { RolloutContext } from './rolloutContext.js'
 import { slotKey, type SampleStore } from './sampleStore.js'
 
 const HOLDERS_COUNT = 2
@@ -134,7 +134,7 @@
   }
 
   private _callProgress (progress: Progress): Progress {
-    return progress.before(this._context.clock.nowMs() + PEER_CALL_TIMEOUT_MS)
+    return progress.withDeadline(this._context.clock.nowMs() + PEER_CALL_TIMEOUT_MS)
   }
 }
 
--- a/src/entry/rollouts/sampleScorer.ts
+++ b/src/entry/rollouts/sampleScorer.ts
@@ -10,7 +10,7 @@
 import type { Progress } from '../../utils/progress.js'
 import type { Assignment, WorkItem } from '../scheduling/scheduler.js'
 import { RolloutEvent } from './rolloutEvents.js'
-import type { RolloutContext } from './rolloutParts.js'
+import type { RolloutContext } from './rolloutContext.js'
 
 const SCORE_CALL_TIMEOUT_MS = 30_000
 const INITIAL_BACKOFF_MS = 100
@@ -67,7 +67,7 @@
   /** @returns undefined when the deadline passed first */
   async score (task: ScoreTask, progress: Progress): Promise<number | undefined> {
     const excludedEndpointIds: string[] = []
-    for (let backoffMs = INITIAL_BACKOFF_MS; !progress.isOver(); backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS)) {
+    for (let backoffMs = INITIAL_BACKOFF_MS; !progress.isPastDeadline(); backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS)) {
       const outcome = await this._attempt(task, excludedEndpointIds, progress)
       if (outcome.kind === 'scored') return outcome.score
       this._context.logger.event(RolloutEvent.ScoringFailed, { pool: task.pool, message: outcome.message })
@@ -96,7 +96,7 @@
     const startedAtMs = clock.nowMs()
     let outcome: ScoreOutcome | undefined
     try {
-      outcome = await this._call(assignment.endpoint.announcement.url, { prompt, tokens }, progress.before(startedAtMs + SCORE_CALL_TIMEOUT_MS))
+      outcome = await this._call(assignment.endpoint.announcement.url, { prompt, tokens }, progress.withDeadline(startedAtMs + SCORE_CALL_TIMEOUT_MS))
       return outcome
     } finally {
       const durationMs = clock.nowMs() - startedAtMs
--- a/src/entry/rollouts/enginePaces.ts
+++ b/src/entry/rollouts/sampleThroughput.ts
@@ -6,7 +6,7 @@
  * parallel attempt would discard the work of the slower one.
  */
 import type { Clock } from '../../utils/clock.js'
-import type { RolloutContext } from './rolloutParts.js'
+import type { RolloutContext } from './rolloutContext.js'
 
 /** Throughput is measured over windows of this length. */
 const WINDOW_MS = 4_000
--- a/src/entry/rollouts/slotLeaser.ts
+++ b/src/entry/rollouts/slotLeaser.ts
@@ -3,7 +3,7 @@
  * host, lists its running attempts, and requests only as many slots as the
  * engines can start, so that the ledger decides the order of starts.
  */
-import { RolloutCommandKind, type HeldSample, type JobOutlook, type LeasedSlot, type RolloutResultOf, type WantedSlots } from '../../protocol/rolloutCommands.js'
+import { RolloutCommandKind, type HeldSample, type JobStatus, type LeasedSlot, type RolloutResultOf, type SlotRequest } from '../../protocol/rolloutCommands.js'
 import { ResourceKind, type RolloutJobSpec } from '../../protocol/resources.js'
 import { sleepUntil } from '../../utils/clock.js'
 import { MetricName } from '../../utils/metricNames.js'
@@ -110,7 +110,7 @@
   }
 
   /** The slots that this host has capacity for, by job. */
-  private _wanted (): WantedSlots[] {
+  private _wanted (): SlotRequest[] {
     const { configuration } = this._options.context.control
     if (!this._options.context.control.holdsLease()) return []
     return configuration.list(ResourceKind.RolloutJob)
@@ -118,7 +118,7 @@
       .map(({ name, spec }) => this._wantedOf(name, spec))
   }
 
-  private _wantedOf (job: string, spec: RolloutJobSpec): WantedSlots {
+  private _wantedOf (job: string, spec: RolloutJobSpec): SlotRequest {
     const capacityCount = this._hostCapacityCount(spec.pool)
     const running = [...this._running.values()].filter(({ slot }) => this._specOf(slot.job)?.pool === spec.pool)
     const ownCount = running.filter(({ slot }) => slot.job === job).length
@@ -139,7 +139,7 @@
     })
   }
 
-  private _outlooksOf (pool: string): JobOutlook[] {
+  private _outlooksOf (pool: string): JobStatus[] {
     return this._options.outlooks.all().filter(({ job }) => this._specOf(job)?.pool === pool)
   }
 
--- a/src/entry/rollouts/slotWorker.ts
+++ b/src/entry/rollouts/slotWorker.ts
@@ -14,12 +14,12 @@
 import type { Scope } from '../../utils/scope.js'
 import type { Task } from '../../utils/supervisor.js'
 import type { CompletionOutcome, CompletionTask, PartialCompletion } from '../completions/completionRunner.js'
-import type { ThroughputMonitor, SampleThroughput } from './enginePaces.js'
+import type { ThroughputMonitor, SampleThroughput } from './sampleThroughput.js'
 import { notifyGroupComplete, type SampleContent } from './rolloutMethods.js'
 import type { JobOutlooks } from './jobOutlooks.js'
 import type { LedgerClient } from './ledgerClient.js'
 import { RolloutEvent } from './rolloutEvents.js'
-import type { RolloutContext } from './rolloutParts.js'
+import type { RolloutContext } from './rolloutContext.js'
 import type { SampleReplication } from './sampleReplication.js'
 import type { SampleStore } from './sampleStore.js'
 import type { SampleScorer } from './sampleScorer.js'
@@ -93,7 +93,7 @@
   /** @returns false when the attempt has timed out */
   private async _generate (progress: Progress): Promise<boolean> {
     const { completions, clock } = this._options.context
-    while (!progress.isOver()) {
+    while (!progress.isPastDeadline()) {
       this._partial = { tokens: [...this._partial.tokens], versions: this._partial.versions }
       const runScope = progress.scope.child('completion')
       this._throughput.start(() => runScope.close(MOVED_REASON))
@@ -222,7 +222,7 @@
     const { job } = this._slot
     if (pullHostId === undefined) return
     if (pullHostId === hostId) return onGroupComplete(job)
-    await peers.call(pullHostId, notifyGroupComplete, { job }, progress.before(clock.nowMs() + NOTIFY_TIMEOUT_MS))
+    await peers.call(pullHostId, notifyGroupComplete, { job }, progress.withDeadline(clock.nowMs() + NOTIFY_TIMEOUT_MS))
   }
 
   private _recordDrop (result: RolloutResult | undefined): void {
@@ -234,7 +234,7 @@
 
   private _recordTimeout (): void {
     const { logger, metrics } = this._options.context
-    metrics.count(MetricName.SampleRerun, { reason: SampleDropReason.GivenUp })
+    metrics.count(MetricName.SampleRerun, { reason: SampleDropReason.Abandoned })
     logger.event(RolloutEvent.AttemptTimedOut, { job: this._slot.job, attemptId: this._slot.attemptId })
   }
 }
--- a/src/entry/rollouts/trainerRoutes.ts
+++ b/src/entry/rollouts/trainerRoutes.ts
@@ -14,7 +14,7 @@
 import type { LedgerClient } from './ledgerClient.js'
 import type { PullServer } from './pullServer.js'
 import { RolloutEvent } from './rolloutEvents.js'
-import type { RolloutContext } from './rolloutParts.js'
+import type { RolloutContext } from './rolloutContext.js'
 import { decodePathSegment } from '../../utils/urlPath.js'
 
 const MAX_BODY_BYTES = 64 * 1024
--- a/src/entry/rollouts/weights/weightTargets.ts
+++ b/src/entry/rollouts/weights/weightTargets.ts
@@ -4,7 +4,7 @@
  * version numbers.
  */
 import { versionServed } from '../../../protocol/endpoints.js'
-import type { JobOutlook } from '../../../protocol/rolloutCommands.js'
+import type { JobStatus } from '../../../protocol/rolloutCommands.js'
 import type { ResourceOf, ResourceKind } from '../../../protocol/resources.js'
 import type { EndpointRecord } from '../../directory/endpointRecord.js'
 
@@ -14,7 +14,7 @@
   weightVersion: number
 }
 
-export function targetsOf (pool: string, jobs: Array<ResourceOf<ResourceKind.RolloutJob>>, outlookOf: (job: string) => JobOutlook | undefined): WeightTarget[] {
+export function targetsOf (pool: string, jobs: Array<ResourceOf<ResourceKind.RolloutJob>>, outlookOf: (job: string) => JobStatus | undefined): WeightTarget[] {
   const newest = new Map<string | undefined, number>()
   for (const { name, spec } of jobs) {
     const published = outlookOf(name)?.publishedVersion ?? 0
--- a/src/entry/scheduling/poolEndpoints.ts
+++ b/src/entry/scheduling/poolEndpoints.ts
@@ -9,7 +9,7 @@
 import { MetricName } from '../../utils/metricNames.js'
 import { EndpointState } from './endpointState.js'
 import type { AttemptResult, WorkItem } from './scheduler.js'
-import type { SchedulerOptions } from './schedulerParts.js'
+import type { SchedulerOptions } from './schedulerOptions.js'
 
 /** Fraction of a pool's endpoints that stays in use whatever is ejected. */
 const MIN_IN_USE_FRACTION = 0.5
--- a/src/entry/scheduling/poolScheduler.ts
+++ b/src/entry/scheduling/poolScheduler.ts
@@ -22,9 +22,9 @@
 import { PrefixPopularity, homesFor } from './prefixHomes.js'
 import { RetryBudget } from '../../utils/retryBudget.js'
 import type { AssignOutcome, AttemptResult, WorkItem } from './scheduler.js'
-import type { SchedulerOptions } from './schedulerParts.js'
+import type { SchedulerOptions } from './schedulerOptions.js'
 import { DrainRate, RunTimeEstimate, retryAfterMs } from './waitForecast.js'
-import { createWaitingRequest, type WaitingRequest } from './waiting.js'
+import { createWaitingRequest, type WaitingRequest } from './waitingRequest.js'
 
 /** Queued requests that are considered per class, since the first ones may have to wait for certain endpoints. */
 const MAX_SCANNED_COUNT = 64
@@ -79,7 +79,7 @@
       onRelease()
       return Promise.resolve(refusal)
     }
-    if (item.excludedEndpointIds.length === 0) this.retryBudget.depositFirstTry()
+    if (item.excludedEndpointIds.length === 0) this.retryBudget.depositFirstAttempt()
     return this._enqueue(item, progress, onRelease)
   }
 
@@ -220,7 +220,7 @@
 
   /** No endpoint can finish the request before its deadline any more. */
   private _refuseUnreachable (waiting: WaitingRequest): void {
-    const reason = waiting.progress.isOver() ? RefusalReason.DeadlinePassed : RefusalReason.DeadlineUnreachable
+    const reason = waiting.progress.isPastDeadline() ? RefusalReason.DeadlinePassed : RefusalReason.DeadlineUnreachable
     const waitedMs = Math.round(this._options.clock.nowMs() - waiting.enqueuedAtMs)
     this._refuseWaiting(waiting, reason, `the request was still queued after ${waitedMs} ms`)
   }
--- a/src/entry/scheduling/priorityScheduler.ts
+++ b/src/entry/scheduling/priorityScheduler.ts
@@ -10,7 +10,7 @@
 import { DecisionLog } from './decisionLog.js'
 import { PoolScheduler } from './poolScheduler.js'
 import type { AssignOutcome, Scheduler, WorkItem } from './scheduler.js'
-import type { SchedulerOptions } from './schedulerParts.js'
+import type { SchedulerOptions } from './schedulerOptions.js'
 import { retryAfterMs } from './waitForecast.js'
 
 export type { SchedulerOptions }
@@ -50,7 +50,7 @@
 
   takeRetry (pool: string, reason: Parameters<Scheduler['takeRetry']>[1]): boolean {
     if (!this._options.configuration.get(ResourceKind.EndpointPool, pool)) return false
-    const isTaken = this._poolOf(pool).retryBudget.take()
+    const isTaken = this._poolOf(pool).retryBudget.tryWithdraw()
     if (isTaken) this._options.metrics.count(MetricName.RequestRetried, { reason, pool })
     return isTaken
   }
--- a/src/entry/services/oneShotCall.ts
+++ b/src/entry/services/oneShotCall.ts
@@ -36,7 +36,7 @@
  * @param maySend called once, after the connection opens and before the first byte is written
  */
 export async function callOnce (url: string, request: OneShotRequest, limits: OneShotLimits, progress: Progress, maySend: () => boolean): Promise<OneShotOutcome> {
-  const opened = await openSocket(url, progress.before(progress.clock.nowMs() + limits.connectTimeoutMs))
+  const opened = await openSocket(url, progress.withDeadline(progress.clock.nowMs() + limits.connectTimeoutMs))
   if (typeof opened === 'string') return { kind: 'notSent', message: opened }
   const dispose = progress.scope.onClose(() => opened.destroy())
   try {
--- a/src/entry/services/unrepeatableCalls.ts
+++ b/src/entry/services/unrepeatableCalls.ts
@@ -129,7 +129,7 @@
   }
 
   private async _queryState (key: UnrepeatableKey, progress: Progress): Promise<UnrepeatableState | undefined> {
-    const bounded = progress.before(progress.clock.nowMs() + QUERY_TIMEOUT_MS)
+    const bounded = progress.withDeadline(progress.clock.nowMs() + QUERY_TIMEOUT_MS)
     const outcome = await this._options.control.query({ kind: QueryKind.Unrepeatable, ...key }, bounded)
     return outcome.kind === 'answered' ? outcome.result : undefined
   }
@@ -174,7 +174,7 @@
     const { key, attemptId, requestHash, generation } = attempt
     const { control, hostId } = this._options
     const command = { kind: UnrepeatableCommandKind.Start as const, ...key, attemptId, requestHash, hostId, generation }
-    const submitted = await control.submit(command, progress.before(progress.clock.nowMs() + START_TIMEOUT_MS))
+    const submitted = await control.submit(command, progress.withDeadline(progress.clock.nowMs() + START_TIMEOUT_MS))
     if (submitted.kind === 'committed' && submitted.result.kind === 'started') return await this._runStarted(attempt, assignment, progress)
     assignment.finish({ kind: 'cancelled' })
     if (submitted.kind === 'committed') return await this._outcomeOfUnstarted(attempt, submitted.result)
@@ -226,14 +226,14 @@
       const outcome = await runAtEndpoint(attempt, assignment, limits, progress)
       if (outcome.kind !== 'notRun' || !this._mayRetry(attempt, outcome.retryReason)) return outcome
       excludedEndpointIds.push(assignment.endpoint.announcement.endpointId)
-      const next = await scheduler.assign({ ...attempt.call.item, excludedEndpointIds }, progress.before(attempt.progress.deadlineMs))
+      const next = await scheduler.assign({ ...attempt.call.item, excludedEndpointIds }, progress.withDeadline(attempt.progress.deadlineMs))
       if (next.kind === 'refused') return outcome
       assignment = next.assignment
     }
   }
 
   private _mayRetry ({ call, progress }: UnrepeatableAttempt, reason: RetryReason): boolean {
-    return !progress.isOver() && !progress.scope.isClosed && this._options.scheduler.takeRetry(call.item.pool, reason)
+    return !progress.isPastDeadline() && !progress.scope.isClosed && this._options.scheduler.takeRetry(call.item.pool, reason)
   }
 
   /** Records the response, waiting at most RECORD_WAIT_LIMIT_MS; a slower submission continues in the background. */
@@ -266,8 +266,8 @@
     return new Promise<void>(resolve => {
       const scope = supervisor.spawn(id, async scope => {
         const progress = new Progress(clock, scope, clock.nowMs() + SUBMIT_RETRY_LIMIT_MS)
-        while (!progress.isOver()) {
-          if (await submit(progress.before(clock.nowMs() + START_TIMEOUT_MS))) return
+        while (!progress.isPastDeadline()) {
+          if (await submit(progress.withDeadline(clock.nowMs() + START_TIMEOUT_MS))) return
           await waitBeforeResubmit(progress)
         }
         logger.event(EntryEvent.UnrepeatableNotRecorded, { command: name })
@@ -287,7 +287,7 @@
     progress.log(`waiting for earlier attempt ${attemptId} on host ${hostId}`)
     if (hostId === this._options.hostId) await progress.race(this._awaitLocalAttempt(attemptKey))
     else await this._options.peers.call(hostId, awaitMethod, { attemptKey }, progress)
-    if (progress.isOver()) return refused(RefusalReason.DeadlinePassed, Executed.Unknown, 'the deadline passed while waiting for an earlier attempt of the key')
+    if (progress.isPastDeadline()) return refused(RefusalReason.DeadlinePassed, Executed.Unknown, 'the deadline passed while waiting for an earlier attempt of the key')
     return outcomeOf(await this._queryState(key, progress), requestHash)
   }
 
--- a/src/entry/services/unrepeatableDispatch.ts
+++ b/src/entry/services/unrepeatableDispatch.ts
@@ -43,7 +43,7 @@
     body: call.body
   }
   const maySend = (): boolean => {
-    attempt.isAtEndpoint = !callerProgress.scope.isClosed && !callerProgress.isOver()
+    attempt.isAtEndpoint = !callerProgress.scope.isClosed && !callerProgress.isPastDeadline()
     return attempt.isAtEndpoint
   }
   let result: AttemptResult = { kind: 'cancelled' }
--- a/src/fleet/controlCommands.ts
+++ b/src/fleet/controlCommands.ts
@@ -34,12 +34,12 @@
   async submit (command: RoutingCommand, progress: Progress): Promise<SubmitReply> {
     let hint: string | undefined
     let last: SubmitReply = { kind: 'notCommitted', reason: 'no control host is known' }
-    while (!progress.isOver()) {
+    while (!progress.isPastDeadline()) {
       const addresses = this._addresses()
       const address = hint ?? addresses[this._next++ % Math.max(1, addresses.length)]
       hint = undefined
       if (address !== undefined) {
-        const outcome = await this._links.to({ peerAddress: address }).call(submitMethod, { command }, progress.before(progress.clock.nowMs() + TRY_TIMEOUT_MS))
+        const outcome = await this._links.to({ peerAddress: address }).call(submitMethod, { command }, progress.withDeadline(progress.clock.nowMs() + TRY_TIMEOUT_MS))
         if (outcome.kind === 'replied') last = outcome.body
         if (last.kind === 'committed') return last
         if (last.kind === 'notLeader') hint = last.leaderAddress
--- a/src/fleet/fleetFollower.ts
+++ b/src/fleet/fleetFollower.ts
@@ -107,7 +107,7 @@
   }
 
   /** Time since a majority of the control hosts last answered, in milliseconds. Later decisions may be unknown to this host. */
-  outOfTouchMs (): number {
+  disconnectedMs (): number {
     const answered = [...this._followed.values()].map(({ lastAnsweredCallAtMs }) => lastAnsweredCallAtMs).sort((left, right) => right - left)
     const majorityAnsweredAtMs = answered[Math.floor(answered.length / 2)] ?? Number.NEGATIVE_INFINITY
     return this._options.clock.nowMs() - majorityAnsweredAtMs
--- a/src/fleet/fleetView.ts
+++ b/src/fleet/fleetView.ts
@@ -113,9 +113,9 @@
   }
 
   /** Removes an endpoint whose address another one has taken over. */
-  markGone (endpointId: string): void {
+  markRemoved (endpointId: string): void {
     const known = this._endpoints.get(endpointId)
-    if (known) this._mergeEndpoint({ ...known, lifecycle: EndpointLifecycle.Gone })
+    if (known) this._mergeEndpoint({ ...known, lifecycle: EndpointLifecycle.Removed })
     this._notify()
   }
 
@@ -168,7 +168,7 @@
 
   private _applyLeave (leave: EndpointLeave): void {
     const newest = this._newestIncarnations.get(leave.name)
-    this._leaves.note(leave, newest?.bornAtMs)
+    this._leaves.record(leave, newest?.bornAtMs)
     const known = newest && this._endpoints.get(newest.endpointId)
     if (known && this._leaves.lifecycleOf(known) > known.lifecycle) this._mergeEndpoint(known)
   }
@@ -180,7 +180,7 @@
     const lifecycle = Math.max(known?.lifecycle ?? EndpointLifecycle.Ready, received.lifecycle, this._leaves.lifecycleOf(received))
     const newest = known && known.sequence > received.sequence ? known : received
     const endpoint = { ...newest, lifecycle }
-    if (lifecycle === EndpointLifecycle.Gone) this._removeEndpoint(endpointId)
+    if (lifecycle === EndpointLifecycle.Removed) this._removeEndpoint(endpointId)
     else this._endpoints.set(endpointId, endpoint)
     this._logEndpoint(known, endpoint)
   }
--- a/src/fleet/knownQuarantine.ts
+++ b/src/fleet/knownQuarantine.ts
@@ -3,21 +3,21 @@
  * control hosts send the same notices; of two about one request the newer wins.
  */
 import { LRUCache } from 'lru-cache'
-import { QuarantineVerdict, type QuarantineNotice } from '../protocol/quarantine.js'
+import { QuarantineVerdict, type QuarantineEntry } from '../protocol/quarantine.js'
 
 /** The same number as a control host keeps. */
 const MAX_NOTICES_COUNT = 512
 
 export class KnownQuarantine {
-  private readonly _notices = new LRUCache<string, QuarantineNotice>({ max: MAX_NOTICES_COUNT })
-  private readonly _listeners = new Set<(notice: QuarantineNotice) => void>()
+  private readonly _notices = new LRUCache<string, QuarantineEntry>({ max: MAX_NOTICES_COUNT })
+  private readonly _listeners = new Set<(notice: QuarantineEntry) => void>()
 
   /** Adds a listener that is called for each notice that is new here. */
-  onUpdate (listener: (notice: QuarantineNotice) => void): void {
+  onUpdate (listener: (notice: QuarantineEntry) => void): void {
     this._listeners.add(listener)
   }
 
-  merge (notices: readonly QuarantineNotice[]): void {
+  merge (notices: readonly QuarantineEntry[]): void {
     for (const notice of notices) {
       const known = this._notices.peek(notice.digest)
       if (known && known.number >= notice.number) continue
@@ -26,7 +26,7 @@
     }
   }
 
-  get (digest: string): QuarantineNotice | undefined {
+  get (digest: string): QuarantineEntry | undefined {
     return this._notices.get(digest)
   }
 
--- a/src/gateway/failedTry.ts
+++ b/src/gateway/failedTry.ts
@@ -29,13 +29,13 @@
   const failed = { mayHaveRun: false, wasFull: false }
   switch (outcome.kind) {
     case 'notExecuted':
-      health.wasFull(outcome.load)
+      health.rejectedAsFull(outcome.load)
       return { ...failed, wasFull: true, reason: RetryReason.EndpointRefused, detail: `status ${outcome.status}` }
     case 'misdirected':
-      view.markGone(endpointId)
+      view.markRemoved(endpointId)
       return { ...failed, reason: RetryReason.EndpointRefused, detail: 'another endpoint has the address' }
     case 'unreached':
-      if (outcome.isRefused === true) health.refused(startedAtMs)
+      if (outcome.isRefused === true) health.refusedConnection(startedAtMs)
       else health.failed(FailureReason.Unreached, startedAtMs)
       return { ...failed, reason: RetryReason.ConnectFailed, detail: outcome.reason }
     case 'broken':
--- a/src/gateway/waitingTurns.ts
+++ b/src/gateway/fairWaitQueue.ts
@@ -5,7 +5,7 @@
  * were tried again in any order, an urgent request would be as likely to wait as
  * the others.
  */
-import { StrideScheduler } from '../accounts/priorityShare.js'
+import { StrideScheduler } from '../accounts/strideScheduler.js'
 
 /** The place of a request in the queue. */
 export interface QueueEntry {
--- a/src/gateway/requestForwarder.ts
+++ b/src/gateway/requestForwarder.ts
@@ -6,12 +6,12 @@
  */
 import type { EndpointClient, EndpointOutcome } from '../endpoints/endpointClient.js'
 import type { EndpointPool } from '../endpoints/endpointPool.js'
-import { FailureAccount } from '../endpoints/failureAccount.js'
+import { FailureAttribution } from '../endpoints/failureAttribution.js'
 import type { FleetView } from '../fleet/fleetView.js'
 import type { FleetEndpoint } from '../protocol/fleet.js'
 import { Executed, RefusalReason, RetryReason } from '../protocol/refusals.js'
 import { RouteKind, type RoutingRoute } from '../protocol/routing.js'
-import { RequestStanding, type QuarantinedRun, type RequestQuarantine } from '../quarantine/requestQuarantine.js'
+import { QuarantineStatus, type QuarantinedRun, type RequestQuarantine } from '../quarantine/requestQuarantine.js'
 import type { RequestIdentity } from '../quarantine/requestIdentity.js'
 import type { Clock } from '../utils/clock.js'
 import { ScopeClosedError } from '../utils/errors.js'
@@ -27,7 +27,7 @@
 import { GatewayEvent } from './gatewayEvents.js'
 import { hedgeDelayMs, waitOrRefuse } from './requestPolicy.js'
 import { chooseService } from './routeTable.js'
-import { FairWaitQueue, type QueueEntry } from './waitingTurns.js'
+import { FairWaitQueue, type QueueEntry } from './fairWaitQueue.js'
 
 /** Pause before the endpoints of a service are tried again after all of them were full. */
 const FULL_RETRY_MS = 20
@@ -115,7 +115,7 @@
   /** Tries that an endpoint ran or may have run. */
   private _ranCount = 0
   private _isStarted = false
-  private readonly _failures: FailureAccount
+  private readonly _failures: FailureAttribution
   private _answer: AnsweredOutcome | undefined
   private _failure: AnsweredOutcome | undefined
 
@@ -125,7 +125,7 @@
     this._scope = scope
     this._identity = options.quarantine.identify(request)
     this._service = service
-    this._failures = new FailureAccount(() => this._identity.digest)
+    this._failures = new FailureAttribution(() => this._identity.digest)
     this._hedgeBudget = hedgeBudget
     this._startedAtMs = request.progress.clock.nowMs()
     this._waitQueue = waitQueue
@@ -138,8 +138,8 @@
 
   async run (): Promise<ForwardOutcome> {
     const { progress } = this._request
-    this._hedgeBudget.depositFirstTry()
-    while (!this._answer && !progress.isOver()) {
+    this._hedgeBudget.depositFirstAttempt()
+    while (!this._answer && !progress.isPastDeadline()) {
       if (this._openTriesCount === 0) {
         const outcome = this._tryNext()
         if (outcome) return outcome
@@ -155,11 +155,11 @@
     const { route } = this._request
     const mayRunAgain = this._ranCount === 0 || (route.kind !== RouteKind.AtMostOnce && this._ranCount < route.maxAttemptsCount)
     if (!mayRunAgain) return this._failure ?? this._refuse(RefusalReason.EndpointFailed)
-    const status = this._options.quarantine.standingOf(this._identity)
-    if (status === RequestStanding.Condemned) return this._refuseQuarantined()
+    const status = this._options.quarantine.statusOf(this._identity)
+    if (status === QuarantineStatus.Condemned) return this._refuseQuarantined()
     const endpoint = this._chooseIfNext()
     // When every endpoint refuses connections, the request waits for the first one that is back, or for its deadline.
-    if (endpoint && (this._options.pool.isRefusing(endpoint) || !this._options.quarantine.mayBegin(status, endpoint))) return undefined
+    if (endpoint && (this._options.pool.isRefusing(endpoint) || !this._options.quarantine.mayStart(status, endpoint))) return undefined
     if (endpoint) {
       this._startTry(endpoint)
       return undefined
@@ -183,8 +183,8 @@
     const { route, progress } = this._request
     const mayRepeat = route.kind !== RouteKind.AtMostOnce && this._ranCount + this._openTriesCount < route.maxAttemptsCount
     // A request that terminates endpoints would terminate the second one as well.
-    if (this._options.quarantine.standingOf(this._identity) !== RequestStanding.Free) return false
-    return mayRepeat && !progress.isOver() && this._openTriesCount === 1 && this._hedgeBudget.take()
+    if (this._options.quarantine.statusOf(this._identity) !== QuarantineStatus.Free) return false
+    return mayRepeat && !progress.isPastDeadline() && this._openTriesCount === 1 && this._hedgeBudget.tryWithdraw()
   }
 
   private _hedge (): void {
@@ -219,7 +219,7 @@
     const { clock } = progress
     const health = this._options.pool.health(endpoint.endpointId)
     const startedAtMs = clock.nowMs()
-    const run = this._options.quarantine.begin(this._identity, endpoint)
+    const run = this._options.quarantine.startRun(this._identity, endpoint)
     let isSettled = false
     health.began()
     health.runningCount++
@@ -232,7 +232,7 @@
       this._tryEnded.notify()
     } finally {
       health.runningCount--
-      if (!isSettled) this._options.quarantine.left(run)
+      if (!isSettled) this._options.quarantine.abandoned(run)
       if (!isSettled) this._notifyStarted(startedAtMs)
       if (this._scope.isClosed) health.recordDuration(clock.nowMs() - startedAtMs)
     }
@@ -249,12 +249,12 @@
         if (outcome.status < 500) {
           this._options.quarantine.answered(run)
           health.succeeded(durationMs, outcome.load)
-          this._failures.settled(endpoint.endpointId)
+          this._failures.accepted(endpoint.endpointId)
           this._options.pool.recordDuration(this._service, durationMs)
         } else {
           this._options.quarantine.answeredWithError(run)
           // The duration is not recorded: how fast an endpoint fails says nothing about how fast it serves.
-          health.worked()
+          health.responded()
           health.recordLoad(outcome.load)
           this._failures.note(endpoint.endpointId, health, startedAtMs, outcome.status)
         }
@@ -273,7 +273,7 @@
   /** The refusal carries no retry delay: the request would be withheld again. */
   private _refuseQuarantined (): ForwardOutcome {
     const { attemptId, route } = this._request
-    this._options.quarantine.noteHeldBack(this._identity, { attemptId, route: route.name })
+    this._options.quarantine.recordWithheld(this._identity, { attemptId, route: route.name })
     return this._refuse(RefusalReason.Quarantined, 0)
   }
 
--- a/src/gateway/streamForwarder.ts
+++ b/src/gateway/streamForwarder.ts
@@ -5,11 +5,11 @@
  */
 import type { EndpointClient, StreamHead, StreamOutcome } from '../endpoints/endpointClient.js'
 import type { EndpointPool } from '../endpoints/endpointPool.js'
-import { FailureAccount } from '../endpoints/failureAccount.js'
+import { FailureAttribution } from '../endpoints/failureAttribution.js'
 import type { FleetView } from '../fleet/fleetView.js'
 import type { FleetEndpoint } from '../protocol/fleet.js'
 import { Executed, RefusalReason, RetryReason } from '../protocol/refusals.js'
-import { RequestStanding, type QuarantinedRun, type RequestQuarantine } from '../quarantine/requestQuarantine.js'
+import { QuarantineStatus, type QuarantinedRun, type RequestQuarantine } from '../quarantine/requestQuarantine.js'
 import type { RequestIdentity } from '../quarantine/requestIdentity.js'
 import { sleepUntil } from '../utils/clock.js'
 import { ScopeClosedError } from '../utils/errors.js'
@@ -17,7 +17,7 @@
 import { MetricName } from '../utils/metricNames.js'
 import type { Metrics } from '../utils/metrics.js'
 import type { RandomSource } from '../utils/randomSource.js'
-import { EventStreamSplitter } from './eventCutter.js'
+import { EventStreamSplitter } from './eventStreamSplitter.js'
 import { recordFailedTry, type FailedOutcome } from './failedTry.js'
 import { GatewayEvent } from './gatewayEvents.js'
 import type { ForwardOutcome, ForwardRequest } from './requestForwarder.js'
@@ -77,7 +77,7 @@
   private readonly _identity: RequestIdentity
   private readonly _service: string
   private readonly _startedAtMs: number
-  private readonly _failures: FailureAccount
+  private readonly _failures: FailureAttribution
   private readonly _tried = new Set<string>()
   private _lastEventId: number | undefined
   private _isHeadSent = false
@@ -91,7 +91,7 @@
     this._request = request
     this._sink = sink
     this._identity = options.quarantine.identify(request)
-    this._failures = new FailureAccount(() => this._identity.digest)
+    this._failures = new FailureAttribution(() => this._identity.digest)
     this._service = chooseService(request.route, options.random)
     this._startedAtMs = request.progress.clock.nowMs()
     this._lastEventId = request.afterEventId
@@ -100,11 +100,11 @@
   async run (): Promise<StreamForwardOutcome> {
     const { progress } = this._request
     const { quarantine } = this._options
-    while (!progress.isOver()) {
-      const status = quarantine.standingOf(this._identity)
-      if (status === RequestStanding.Condemned) return this._refuseQuarantined()
+    while (!progress.isPastDeadline()) {
+      const status = quarantine.statusOf(this._identity)
+      if (status === QuarantineStatus.Condemned) return this._refuseQuarantined()
       const endpoint = this._options.pool.choose(this._service, this._tried, quarantine.riskyEndpointIds())
-      const hasToWait = endpoint !== undefined && (this._options.pool.isRefusing(endpoint) || !quarantine.mayBegin(status, endpoint))
+      const hasToWait = endpoint !== undefined && (this._options.pool.isRefusing(endpoint) || !quarantine.mayStart(status, endpoint))
       if (hasToWait) {
         await this._waitBeforeRetry()
       } else if (endpoint) {
@@ -126,7 +126,7 @@
 
   private _refuseQuarantined (): StreamForwardOutcome {
     const { attemptId, route } = this._request
-    this._options.quarantine.noteHeldBack(this._identity, { attemptId, route: route.name })
+    this._options.quarantine.recordWithheld(this._identity, { attemptId, route: route.name })
     return this._refuse(RefusalReason.Quarantined, 0)
   }
 
@@ -152,7 +152,7 @@
     const health = pool.health(endpoint.endpointId)
     const scope = progress.scope.child(`stream from ${endpoint.endpointId}`)
     const cancelTimer = progress.clock.callAt(progress.deadlineMs, () => scope.close('deadline passed'))
-    const run = this._options.quarantine.begin(this._identity, endpoint)
+    const run = this._options.quarantine.startRun(this._identity, endpoint)
     let isSettled = false
     const startedAtMs = progress.clock.nowMs()
     health.began()
@@ -160,7 +160,7 @@
     try {
       const outcome = await this._options.client.stream({ ...this._request, endpoint, deadlineMs: progress.deadlineMs, afterEventId: this._lastEventId }, scope, {
         onHead: head => {
-          health.worked()
+          health.responded()
           this._onHead(head)
         },
         onData: chunk => this._onData(chunk)
@@ -174,7 +174,7 @@
     } finally {
       cancelTimer()
       health.runningCount--
-      if (!isSettled) this._options.quarantine.left(run)
+      if (!isSettled) this._options.quarantine.abandoned(run)
       scope.close('try over')
     }
   }
@@ -210,7 +210,7 @@
     switch (outcome.kind) {
       case 'ended':
         this._options.pool.health(endpoint.endpointId).accepted()
-        this._failures.settled(endpoint.endpointId)
+        this._failures.accepted(endpoint.endpointId)
         quarantine.answered(run)
         return { kind: 'ended', endpointId: endpoint.endpointId }
       case 'answered':
@@ -228,11 +228,11 @@
     const { quarantine, pool } = this._options
     const { endpointId } = run.endpoint
     const health = pool.health(endpointId)
-    health.worked()
+    health.responded()
     if (status < 500) {
       quarantine.answered(run)
       health.accepted()
-      this._failures.settled(endpointId)
+      this._failures.accepted(endpointId)
     } else {
       quarantine.answeredWithError(run)
       this._failures.note(endpointId, health, startedAtMs, status)
@@ -255,12 +255,12 @@
     if (this._mayResume()) return this._logFailure(endpoint, RetryReason.StreamResumed, reason)
     if (this._isHeadSent) return { kind: 'brokenOff', reason }
     this._logFailure(endpoint, RetryReason.ConnectionLost, reason)
-    return this._refuse(progress.isOver() ? RefusalReason.DeadlinePassed : RefusalReason.EndpointFailed)
+    return this._refuse(progress.isPastDeadline() ? RefusalReason.DeadlinePassed : RefusalReason.EndpointFailed)
   }
 
   private _mayResume (): boolean {
     const { route, progress } = this._request
-    return route.isResumable && this._ranCount < route.maxAttemptsCount && !progress.isOver()
+    return route.isResumable && this._ranCount < route.maxAttemptsCount && !progress.isPastDeadline()
   }
 
   private _refuse (reason: RefusalReason, retryAfterMs = this._options.pool.forecast(this._service)?.waitMs ?? 0): StreamForwardOutcome {
--- a/src/load/recordCheck.ts
+++ b/src/load/recordCheck.ts
@@ -6,7 +6,7 @@
 import { request } from 'undici'
 import { z } from 'zod'
 import { WorkloadKind, type Experiment } from './experiment.js'
-import { servicePath } from './requestForm.js'
+import { servicePath } from './httpRequest.js'
 import { InvariantKind, type RequestOutcome } from './requestOutcome.js'
 import type { InvariantViolation } from './report.js'
 
--- a/src/load/requestRunner.ts
+++ b/src/load/requestRunner.ts
@@ -7,10 +7,10 @@
 import { Executed, refusalSchema, type Refusal } from '../protocol/refusals.js'
 import { sleepUntil, type Clock } from '../utils/clock.js'
 import type { Scope } from '../utils/scope.js'
-import type { AdviceCache } from './adviceKeeper.js'
+import type { AdviceCache } from './adviceCache.js'
 import { checkServiceAnswer, checkUnstreamedCompletion, parseJson, StreamCheck } from './answerCheck.js'
 import { WorkloadKind, type Workload } from './experiment.js'
-import { buildHttpRequest } from './requestForm.js'
+import { buildHttpRequest } from './httpRequest.js'
 import { InvariantKind, type PlannedRequest, type RequestOutcome, type AttemptOutcome } from './requestOutcome.js'
 
 const FIRST_ERROR_STATUS = 400
--- a/src/protocol/batches.ts
+++ b/src/protocol/batches.ts
@@ -51,7 +51,7 @@
 export enum ResultState {
   Completed = 'completed',
   /** Permanently abandoned. */
-  GivenUp = 'given_up'
+  Abandoned = 'given_up'
 }
 
 /** Some consecutive events of an item's output. */
--- a/src/protocol/controlMessages.ts
+++ b/src/protocol/controlMessages.ts
@@ -70,11 +70,11 @@
 export type RenewReply = z.infer<typeof renewReplySchema>
 
 /** Pushed after a commit to every host that holds a lease. */
-export const changesNoticeSchema = z.object({
+export const changesNotificationSchema = z.object({
   clusterId: z.string(),
   changes: z.array(configurationChangeSchema)
 })
-export type ChangesNotice = z.infer<typeof changesNoticeSchema>
+export type ChangesNotification = z.infer<typeof changesNotificationSchema>
 
 export const readIndexReplySchema = z.discriminatedUnion('kind', [
   /** A replica that has applied the log up to this index serves current reads. */
--- a/src/protocol/endpointLeaves.ts
+++ b/src/protocol/endpointLeaves.ts
@@ -10,7 +10,7 @@
   Ready = 0,
   /** Finishes the requests that it runs and gets no new ones. */
   Leaving = 1,
-  Gone = 2
+  Removed = 2
 }
 
 /** Limit on remembered leaves; an old heartbeat arrives at most some seconds after the leave. */
@@ -50,7 +50,7 @@
    * Records a leave. Idempotent: the same leave may be received again, also from another control host.
    * @param newestBornAtMs start time of the newest incarnation known here, which a leave without a start time ends
    */
-  note ({ number, name, bornAtMs, lifecycle }: EndpointLeave, newestBornAtMs: number | undefined): void {
+  record ({ number, name, bornAtMs, lifecycle }: EndpointLeave, newestBornAtMs: number | undefined): void {
     const known = this._leaves.get(name)
     if (known && known.number >= number) return
     const endsAtMs = bornAtMs ?? newestBornAtMs ?? 0
@@ -63,6 +63,6 @@
   lifecycleOf ({ name, bornAtMs }: { name: string, bornAtMs: number }): EndpointLifecycle {
     const known = this._leaves.get(name)
     if (!known || bornAtMs > known.bornAtMs) return EndpointLifecycle.Ready
-    return bornAtMs < known.bornAtMs ? EndpointLifecycle.Gone : known.lifecycle
+    return bornAtMs < known.bornAtMs ? EndpointLifecycle.Removed : known.lifecycle
   }
 }
--- a/src/protocol/fleet.ts
+++ b/src/protocol/fleet.ts
@@ -5,7 +5,7 @@
  */
 import { z } from 'zod'
 import { EndpointLifecycle, endpointLeaveSchema } from './endpointLeaves.js'
-import { quarantineNoticeSchema } from './quarantine.js'
+import { quarantineEntrySchema } from './quarantine.js'
 import { routingSchema } from './routing.js'
 import { namedWeightsSchema, retirementSchema, storeGroupSchema } from './routingCommands.js'
 import { usageReportSchema } from './usage.js'
@@ -91,7 +91,7 @@
   /** Leaves recorded since the last update on this connection, in the order of their numbers. */
   leaves: z.array(endpointLeaveSchema).optional(),
   /** Quarantine entries that are new or have changed since the last update on this connection. */
-  quarantine: z.array(quarantineNoticeSchema).optional(),
+  quarantine: z.array(quarantineEntrySchema).optional(),
   /** Endpoints without recent heartbeats, with the last sequence number received. */
   silent: z.array(z.object({ endpointId: z.string(), sequence: z.number() })).optional()
 })
--- a/src/protocol/operators.ts
+++ b/src/protocol/operators.ts
@@ -4,7 +4,7 @@
  */
 import { z } from 'zod'
 import { entryHostSchema } from './hostCommands.js'
-import { quarantineNoticeSchema } from './quarantine.js'
+import { quarantineEntrySchema } from './quarantine.js'
 
 export const operatorPaths = {
   /** Followed by kind, and kind/name. */
@@ -63,5 +63,5 @@
 })
 
 /** Requests during which endpoints failed, latest last. */
-export const quarantineListSchema = z.object({ requests: z.array(quarantineNoticeSchema) })
+export const quarantineListSchema = z.object({ requests: z.array(quarantineEntrySchema) })
 export type QuarantineList = z.infer<typeof quarantineListSchema>
--- a/src/protocol/quarantine.ts
+++ b/src/protocol/quarantine.ts
@@ -7,7 +7,7 @@
 import { z } from 'zod'
 
 /** A request is condemned, and no longer sent, after this many endpoints failed while running it: two failures may be chance or due to a concurrent request. */
-export const CONDEMNING_ENDS_COUNT = 3
+export const QUARANTINE_THRESHOLD_COUNT = 3
 /** Counted from the last failure. A request repeated later may make one more endpoint fail, which condemns it again. */
 export const QUARANTINE_MS = 4 * 3_600_000
 /** Requests reported per failure; a model engine runs some dozens at once, and a host reports only its own. */
@@ -34,7 +34,7 @@
 })
 export type EndedEndpoint = z.infer<typeof endedEndpointSchema>
 
-export const quarantineNoticeSchema = z.object({
+export const quarantineEntrySchema = z.object({
   /** Increases with each entry; of two entries on a request, the higher number is in effect. */
   number: z.int().min(1),
   digest: digestSchema,
@@ -44,10 +44,10 @@
   /** Unix time of the last of these failures, by the clock of the leader that recorded it. */
   endedAtMs: z.number()
 })
-export type QuarantineNotice = z.infer<typeof quarantineNoticeSchema>
+export type QuarantineEntry = z.infer<typeof quarantineEntrySchema>
 
 /** The content that stays the same when a caller repeats a request, unlike the attempt id. */
-export interface RepeatedParts {
+export interface RequestContent {
   /** The host that the caller addressed; equal requests to another host count as different. */
   host: string
   method: string
@@ -57,6 +57,6 @@
 }
 
 /** Takes 1.4 µs for a body of 600 bytes on Node.js 20, which is 0.14 % of a core at 1,000 requests per second. */
-export function digestOf ({ host, method, path, body }: RepeatedParts): string {
+export function digestOf ({ host, method, path, body }: RequestContent): string {
   return createHash('sha256').update(JSON.stringify([host, method, path])).update(body).digest('hex').slice(0, DIGEST_HEX_LENGTH)
 }
--- a/src/protocol/rolloutCommands.ts
+++ b/src/protocol/rolloutCommands.ts
@@ -28,7 +28,7 @@
   /** The host that ran the attempt lost its lease or restarted. */
   HostLost = 'hostLost',
   /** The host that ran the attempt abandoned it. */
-  GivenUp = 'givenUp'
+  Abandoned = 'givenUp'
 }
 
 /** A slot holds one sample of one step. */
@@ -69,7 +69,7 @@
   /** How many of these may belong to later steps. */
   maxAheadCount: z.int().min(0)
 })
-export type WantedSlots = z.infer<typeof slotRequestSchema>
+export type SlotRequest = z.infer<typeof slotRequestSchema>
 
 export const rolloutCommandSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal(RolloutCommandKind.OpenSession), job: z.string(), sessionId: z.string() }),
@@ -119,7 +119,7 @@
 export type RolloutCommandOf<K extends RolloutCommandKind> = Extract<RolloutCommand, { kind: K }>
 
 /** Status of a job, sent to a host that renews its lease. */
-export const jobOutlookSchema = z.object({
+export const jobStatusSchema = z.object({
   job: z.string(),
   step: z.int(),
   trainerVersion: z.int(),
@@ -129,7 +129,7 @@
   /** Number of slots of later steps that may start and have no running attempt. */
   waitingAheadCount: z.int()
 })
-export type JobOutlook = z.infer<typeof jobOutlookSchema>
+export type JobStatus = z.infer<typeof jobStatusSchema>
 
 /** A sample that a host holds, with all its holders. */
 export const heldSampleSchema = slotSchema.extend({ attemptId: z.string(), holderHostIds: z.array(z.string()) })
@@ -144,7 +144,7 @@
     revokedAttemptIds: z.array(z.string()),
     /** Unconfirmed samples that the host must keep; set only if requested. */
     held: z.array(heldSampleSchema).optional(),
-    jobs: z.array(jobOutlookSchema),
+    jobs: z.array(jobStatusSchema),
     /** The host loses its slots unless it renews within this time after sending the command. */
     leaseRemainingMs: z.number()
   }),
--- a/src/protocol/routing.ts
+++ b/src/protocol/routing.ts
@@ -22,7 +22,7 @@
   weight: z.number().min(0)
 })
 
-export const batchPromiseSchema = z.object({
+export const batchPolicySchema = z.object({
   /** Time after the first submission at which all results are due. */
   dueMs: z.number(),
   /** Time after the first submission from which unfinished items may be abandoned. */
@@ -30,7 +30,7 @@
   /** All events of a sample must come from the same weight version. */
   isSingleVersion: z.boolean()
 })
-export type BatchPromise = z.infer<typeof batchPromiseSchema>
+export type BatchPolicy = z.infer<typeof batchPolicySchema>
 
 export const routeSchema = z.object({
   name: z.string(),
@@ -51,7 +51,7 @@
   isResumable: z.boolean(),
   /** Callers need no key. */
   isPublic: z.boolean().optional(),
-  batch: batchPromiseSchema.optional()
+  batch: batchPolicySchema.optional()
 })
 export type RoutingRoute = z.infer<typeof routeSchema>
 
--- a/src/protocol/routingCommands.ts
+++ b/src/protocol/routingCommands.ts
@@ -12,10 +12,10 @@
   Replace = 'routing.replace',
   NameWeights = 'weights.name',
   FormStore = 'store.form',
-  BeginRetirement = 'store.retire',
+  StartRetirement = 'store.retire',
   EndRetirement = 'store.retired',
-  NoteLeave = 'endpoint.leave',
-  NoteEnds = 'quarantine.note',
+  RecordLeave = 'endpoint.leave',
+  RecordEnds = 'quarantine.note',
   ClearSuspects = 'quarantine.clear'
 }
 
@@ -58,10 +58,10 @@
   }),
   z.object({ kind: z.literal(RoutingCommandKind.NameWeights), model: z.string(), version: z.int() }),
   z.object({ kind: z.literal(RoutingCommandKind.FormStore), group: storeGroupSchema }),
-  z.object({ kind: z.literal(RoutingCommandKind.BeginRetirement), hostName: z.string(), hostId: z.string() }),
+  z.object({ kind: z.literal(RoutingCommandKind.StartRetirement), hostName: z.string(), hostId: z.string() }),
   z.object({ kind: z.literal(RoutingCommandKind.EndRetirement), hostName: z.string() }),
-  z.object({ kind: z.literal(RoutingCommandKind.NoteLeave), leave: endpointLeaveRequestSchema }),
-  z.object({ kind: z.literal(RoutingCommandKind.NoteEnds), ends: z.array(endedEndpointSchema).max(MAX_ENDS_PER_REPORT) }),
+  z.object({ kind: z.literal(RoutingCommandKind.RecordLeave), leave: endpointLeaveRequestSchema }),
+  z.object({ kind: z.literal(RoutingCommandKind.RecordEnds), ends: z.array(endedEndpointSchema).max(MAX_ENDS_PER_REPORT) }),
   z.object({ kind: z.literal(RoutingCommandKind.ClearSuspects), digests: z.array(z.string()) })
 ])
 export type RoutingCommand = z.infer<typeof routingCommandSchema>
--- a/src/quarantine/requestIdentity.ts
+++ b/src/quarantine/requestIdentity.ts
@@ -2,13 +2,13 @@
  * Identity of a request: two requests are the same if host, method, path and body
  * are equal. The digest is computed on first use.
  */
-import { digestOf, type RepeatedParts } from '../protocol/quarantine.js'
+import { digestOf, type RequestContent } from '../protocol/quarantine.js'
 
 export class RequestIdentity {
-  private readonly _identifyingParts: RepeatedParts
+  private readonly _identifyingParts: RequestContent
   private _digest: string | undefined
 
-  constructor ({ host, method, path, body }: RepeatedParts) {
+  constructor ({ host, method, path, body }: RequestContent) {
     this._identifyingParts = { host, method, path, body }
   }
 
--- a/src/quarantine/requestQuarantine.ts
+++ b/src/quarantine/requestQuarantine.ts
@@ -14,12 +14,12 @@
 import type { EndpointClient, EndpointOutcome, ItemOutcome } from '../endpoints/endpointClient.js'
 import type { FleetView } from '../fleet/fleetView.js'
 import type { FleetEndpoint } from '../protocol/fleet.js'
-import { CONDEMNING_ENDS_COUNT, QUARANTINE_MS, QuarantineVerdict, type QuarantineNotice, type RepeatedParts } from '../protocol/quarantine.js'
+import { QUARANTINE_THRESHOLD_COUNT, QUARANTINE_MS, QuarantineVerdict, type QuarantineEntry, type RequestContent } from '../protocol/quarantine.js'
 import type { Clock } from '../utils/clock.js'
 import type { Logger } from '../utils/logger.js'
 import { MetricName } from '../utils/metricNames.js'
 import type { Metrics } from '../utils/metrics.js'
-import { RepeatedNews } from '../utils/repeatedNews.js'
+import { LogThrottle } from '../utils/logThrottle.js'
 import type { Supervisor } from '../utils/supervisor.js'
 import { EndpointRuns, type EndpointRun } from './endpointRuns.js'
 import { QuarantineEvent } from './quarantineEvents.js'
@@ -39,7 +39,7 @@
 /** From this number of terminations on, this host runs a request at an endpoint only while no other request on probation runs there. */
 const PROBATION_TERMINATIONS_COUNT = 2
 
-export enum RequestStanding {
+export enum QuarantineStatus {
   Free = 'free',
   /** An endpoint terminated while running it; other requests avoid the endpoints where it runs. */
   Suspected = 'suspected',
@@ -64,7 +64,7 @@
 
 /** A request that runs at an endpoint, with its status when it was started. */
 export interface QuarantinedRun extends EndpointRun {
-  readonly status: RequestStanding
+  readonly status: QuarantineStatus
 }
 
 export class RequestQuarantine {
@@ -77,14 +77,14 @@
   private readonly _answeredAtMs = new LRUCache<string, number>({ max: MAX_ANSWERED_COUNT })
   /** Number of running requests by endpoint that are suspected or on probation. */
   private readonly _riskyCounts = new Map<string, number>()
-  private readonly _withheldLogFilter: RepeatedNews
+  private readonly _withheldLogFilter: LogThrottle
   /** The running request on probation, by endpoint. */
   private readonly _probationRuns = new Map<string, QuarantinedRun>()
 
   constructor (options: RequestQuarantineOptions) {
     this._options = options
     const { view, clock, client, supervisor, logger, submit } = options
-    this._withheldLogFilter = new RepeatedNews(clock)
+    this._withheldLogFilter = new LogThrottle(clock)
     this._runs = new EndpointRuns({ view, clock, client, supervisor, onTerminated: (endpoint, identities) => this._onTerminated(endpoint, identities) })
     this._reports = new SuspectReports({ clock, logger, submit })
     view.quarantine.onUpdate(notice => this._onNotice(notice))
@@ -94,21 +94,21 @@
     this._options.supervisor.spawn('reports of terminated endpoints', scope => this._reports.run(scope))
   }
 
-  identify (request: RepeatedParts): RequestIdentity {
+  identify (request: RequestContent): RequestIdentity {
     return new RequestIdentity(request)
   }
 
-  standingOf (identity: RequestIdentity): RequestStanding {
-    if (this._options.view.quarantine.isEmpty && this._ownTerminations.size === 0) return RequestStanding.Free
+  statusOf (identity: RequestIdentity): QuarantineStatus {
+    if (this._options.view.quarantine.isEmpty && this._ownTerminations.size === 0) return QuarantineStatus.Free
     const terminationsCount = this._terminationsCount(identity.digest)
-    if (terminationsCount >= CONDEMNING_ENDS_COUNT) return RequestStanding.Condemned
-    if (terminationsCount >= PROBATION_TERMINATIONS_COUNT) return RequestStanding.OnProbation
-    return terminationsCount > 0 ? RequestStanding.Suspected : RequestStanding.Free
+    if (terminationsCount >= QUARANTINE_THRESHOLD_COUNT) return QuarantineStatus.Condemned
+    if (terminationsCount >= PROBATION_TERMINATIONS_COUNT) return QuarantineStatus.OnProbation
+    return terminationsCount > 0 ? QuarantineStatus.Suspected : QuarantineStatus.Free
   }
 
   /** False while this host runs another request on probation there, so that the next termination identifies the culprit. */
-  mayBegin (status: RequestStanding, { endpointId }: FleetEndpoint): boolean {
-    return status !== RequestStanding.OnProbation || !this._probationRuns.has(endpointId)
+  mayStart (status: QuarantineStatus, { endpointId }: FleetEndpoint): boolean {
+    return status !== QuarantineStatus.OnProbation || !this._probationRuns.has(endpointId)
   }
 
   /** Number of tracked runs. */
@@ -121,11 +121,11 @@
     return new Set(this._riskyCounts.keys())
   }
 
-  begin (identity: RequestIdentity, endpoint: FleetEndpoint): QuarantinedRun {
-    const status = this.standingOf(identity)
-    if (status !== RequestStanding.Free) this._countRisk(endpoint.endpointId, 1)
+  startRun (identity: RequestIdentity, endpoint: FleetEndpoint): QuarantinedRun {
+    const status = this.statusOf(identity)
+    if (status !== QuarantineStatus.Free) this._countRisk(endpoint.endpointId, 1)
     const run = Object.assign(this._runs.startRun(endpoint, identity), { status })
-    if (status === RequestStanding.OnProbation) this._probationRuns.set(endpoint.endpointId, run)
+    if (status === QuarantineStatus.OnProbation) this._probationRuns.set(endpoint.endpointId, run)
     return run
   }
 
@@ -160,17 +160,17 @@
   }
 
   /** Records that this host no longer waits for the run. */
-  left (run: QuarantinedRun): void {
+  abandoned (run: QuarantinedRun): void {
     this._release(run)
     this._runs.abandoned(run)
   }
 
   /** Counts a condemned request that was received again and is withheld; logs it at a limited rate. */
-  noteHeldBack (identity: RequestIdentity, fields: { attemptId: string, route: string }): void {
+  recordWithheld (identity: RequestIdentity, fields: { attemptId: string, route: string }): void {
     const { logger, metrics, view } = this._options
     const { digest } = identity
     metrics.count(MetricName.QuarantineHeldBack)
-    if (!this._withheldLogFilter.isNews(digest)) return
+    if (!this._withheldLogFilter.shouldLog(digest)) return
     const endpointIds = view.quarantine.get(digest)?.endpointIds ?? [...this._ownTerminations.get(digest) ?? []]
     logger.event(QuarantineEvent.RequestWithheld, { digest, endpointIds, ...fields })
   }
@@ -183,13 +183,13 @@
     return this._reportedCount(notice, unreportedCount) + unreportedCount
   }
 
-  private _reportedCount (notice: QuarantineNotice | undefined, unreportedCount: number): number {
+  private _reportedCount (notice: QuarantineEntry | undefined, unreportedCount: number): number {
     if (!notice || notice.verdict === QuarantineVerdict.Cleared) return 0
     const isExpired = this._options.clock.wallMs() - notice.endedAtMs > QUARANTINE_MS
     const { length } = notice.endpointIds
-    if (notice.verdict === QuarantineVerdict.Condemned) return isExpired && unreportedCount === 0 ? CONDEMNING_ENDS_COUNT - 1 : length
+    if (notice.verdict === QuarantineVerdict.Condemned) return isExpired && unreportedCount === 0 ? QUARANTINE_THRESHOLD_COUNT - 1 : length
     // Enough terminations to condemn the request, but it is not condemned: other requests account for them.
-    return isExpired ? 0 : Math.min(length, CONDEMNING_ENDS_COUNT - 1)
+    return isExpired ? 0 : Math.min(length, QUARANTINE_THRESHOLD_COUNT - 1)
   }
 
   private _onTerminated (endpoint: FleetEndpoint, identities: RequestIdentity[]): void {
@@ -208,10 +208,10 @@
     this._ownTerminations.set(digest, own)
     const terminationsCount = this._terminationsCount(digest)
     this._reports.ended(endpointId, digest, terminationsCount === 1)
-    this._logVerdict(terminationsCount >= CONDEMNING_ENDS_COUNT ? QuarantineVerdict.Condemned : QuarantineVerdict.Suspected, digest, [...own], 'seen here')
+    this._logVerdict(terminationsCount >= QUARANTINE_THRESHOLD_COUNT ? QuarantineVerdict.Condemned : QuarantineVerdict.Suspected, digest, [...own], 'seen here')
   }
 
-  private _onNotice ({ digest, verdict, endpointIds }: QuarantineNotice): void {
+  private _onNotice ({ digest, verdict, endpointIds }: QuarantineEntry): void {
     if (verdict === QuarantineVerdict.Cleared) this._ownTerminations.delete(digest)
     this._logVerdict(verdict, digest, endpointIds, 'told')
     this._options.metrics.gauge(MetricName.QuarantineCondemned, this._options.view.quarantine.condemnedDigests().length)
@@ -229,7 +229,7 @@
 
   private _release (run: QuarantinedRun): void {
     const { endpointId } = run.endpoint
-    if (run.status !== RequestStanding.Free) this._countRisk(endpointId, -1)
+    if (run.status !== QuarantineStatus.Free) this._countRisk(endpointId, -1)
     if (this._probationRuns.get(endpointId) === run) this._probationRuns.delete(endpointId)
   }
 
--- a/src/quarantine/suspectReports.ts
+++ b/src/quarantine/suspectReports.ts
@@ -92,7 +92,7 @@
     this._cleared.clear()
     this._logDropped()
     // Sent after the terminations, so that an answer overrides the terminations before it.
-    if (ends.length > 0) await this._submit({ kind: RoutingCommandKind.NoteEnds, ends }, scope)
+    if (ends.length > 0) await this._submit({ kind: RoutingCommandKind.RecordEnds, ends }, scope)
     if (digests.length > 0) await this._submit({ kind: RoutingCommandKind.ClearSuspects, digests }, scope)
   }
 
--- a/src/replication/log/clusterFormation.ts
+++ b/src/replication/log/clusterFormation.ts
@@ -72,7 +72,7 @@
 
   private _isLeaderless (): boolean {
     const { clock } = this._core.options
-    return this._core.role !== ReplicaRole.Leader && clock.nowMs() - this._core.quietSinceMs > LEADERLESS_TIMEOUT_MS
+    return this._core.role !== ReplicaRole.Leader && clock.nowMs() - this._core.electionTimerStartedAtMs > LEADERLESS_TIMEOUT_MS
   }
 
   /** If other members know a leader that does not call this replica, that leader has removed it while it did not answer. */
@@ -94,7 +94,7 @@
   private async _finishFormation (scope: Scope): Promise<void> {
     const first = this._core.state.log.get(1)
     if (this._core.clusterId !== null || first?.kind !== EntryKind.Membership) return
-    await scope.race(this._core.adopt(decodeMembership(first.payload).clusterId))
+    await scope.race(this._core.adoptCluster(decodeMembership(first.payload).clusterId))
   }
 
   private async _tryOnce (scope: Scope): Promise<void> {
@@ -134,8 +134,8 @@
     const payload = encodeMembership({ clusterId, members: [own, ...others] })
     this._core.state.setHardState({ term: 1, votedFor: this._core.replicaId })
     this._core.state.append([{ index: 1, term: 1, kind: EntryKind.Membership, atMs: clock.wallMs(), payload }])
-    await this._core.settled(scope)
-    await scope.race(this._core.adopt(clusterId))
+    await this._core.whenDurable(scope)
+    await scope.race(this._core.adoptCluster(clusterId))
     logger.event(ReplicationEvent.ClusterFormed, { clusterId, hostIds: [own, ...others].map(member => member.hostId) })
   }
 
--- a/src/replication/log/following.ts
+++ b/src/replication/log/follower.ts
@@ -37,7 +37,7 @@
     const merged = core.state.merge(request, core.commitIndex)
     if (merged.kind === 'mismatch') return merged
     core.commitTo(Math.min(request.commitIndex, merged.matchIndex))
-    await core.settled(this._scope)
+    await core.whenDurable(this._scope)
     // A later leader may have truncated the entries in the meantime.
     if (core.term !== request.term) return { kind: 'staleTerm', term: core.term }
     return { kind: 'matched', matchIndex: merged.matchIndex }
@@ -50,7 +50,7 @@
     const isNewTerm = request.term > core.term
     core.follow(request.term, request.fromReplicaId)
     core.commitTo(request.commitIndex)
-    if (isNewTerm) await core.settled(this._scope)
+    if (isNewTerm) await core.whenDurable(this._scope)
     return core.term === request.term ? { kind: 'following' } : { kind: 'staleTerm', term: core.term }
   }
 
@@ -61,7 +61,7 @@
     core.follow(request.term, request.fromReplicaId)
     // Entries committed here already match the leader's log.
     if (request.lastIndex <= core.commitIndex) return await this._installedAt(core.commitIndex, request.term)
-    core.snapshotStats.noteArriving(request.lastIndex)
+    core.snapshotStats.recordChunkArrived(request.lastIndex)
     const received = await this._scope.race(this._receiver.receive(request))
     switch (received.kind) {
       case 'complete':
@@ -91,12 +91,12 @@
     core.state.install(snapshot)
     core.commitIndex = snapshot.lastIndex
     this._applier.restore(snapshot)
-    core.options.logger.event(ReplicationEvent.SnapshotInstalled, { lastIndex: snapshot.lastIndex, bytesCount: snapshot.lengthBytes, tookMs: core.snapshotStats.noteInstalled(snapshot.lengthBytes) })
+    core.options.logger.event(ReplicationEvent.SnapshotInstalled, { lastIndex: snapshot.lastIndex, bytesCount: snapshot.lengthBytes, tookMs: core.snapshotStats.recordInstalled(snapshot.lengthBytes) })
     return await this._installedAt(snapshot.lastIndex, term)
   }
 
   private async _installedAt (matchIndex: number, term: number): Promise<SnapshotReply> {
-    await this._core.settled(this._scope)
+    await this._core.whenDurable(this._scope)
     if (this._core.term !== term) return { kind: 'staleTerm', term: this._core.term }
     return { kind: 'installed', matchIndex }
   }
--- a/src/replication/log/handover.ts
+++ b/src/replication/log/handover.ts
@@ -46,7 +46,7 @@
 
   /** Waits for a live voter that has synced the whole log; undefined if there is no other live voter, the leadership ends or the deadline passes. */
   private async _waitForCaughtUpVoter (progress: Progress): Promise<Member | undefined> {
-    while (!progress.isOver() && !this._leadership.scope.isClosed) {
+    while (!progress.isPastDeadline() && !this._leadership.scope.isClosed) {
       const { lastIndex } = this._core.state.log
       const others = votersOf(this._core.members).filter(({ replicaId }) => replicaId !== this._core.replicaId)
       const live = others.filter(({ replicaId }) => this._leadership.isLive(replicaId))
@@ -59,6 +59,6 @@
   }
 
   private async _waitForNewLeader (progress: Progress): Promise<void> {
-    while (!this._core.leader && !progress.isOver()) await this._core.leaderChanged.wait(progress.scope, progress)
+    while (!this._core.leader && !progress.isPastDeadline()) await this._core.leaderChanged.wait(progress.scope, progress)
   }
 }
--- a/src/replication/log/joinRefusals.ts
+++ b/src/replication/log/joinRefusals.ts
@@ -33,7 +33,7 @@
     this._logger = logger
   }
 
-  note ({ hostId, replicaId }: Omit<Member, 'role'>, outcome: MembershipOutcome, membersCount: number): void {
+  record ({ hostId, replicaId }: Omit<Member, 'role'>, outcome: MembershipOutcome, membersCount: number): void {
     switch (outcome.kind) {
       case 'accepted':
       case 'notNeeded':
--- a/src/replication/log/leadership.ts
+++ b/src/replication/log/leadership.ts
@@ -14,7 +14,7 @@
 import { encodeMembership } from './membershipHistory.js'
 import { isVoter, quorumValue, type Member } from './members.js'
 import type { PeerLinks } from './peerLinks.js'
-import { FollowerReplicator, type ReplicationListener } from './replication.js'
+import { FollowerReplicator, type ReplicationListener } from './followerReplicator.js'
 import type { ReplicaCore } from './replicaCore.js'
 
 interface FollowerTasks {
--- a/src/replication/log/memberReport.ts
+++ b/src/replication/log/memberReport.ts
@@ -10,7 +10,7 @@
 export function logMemberChanges (core: ReplicaCore): void {
   core.state.members.watch(() => {
     const voters = votersOf(core.members)
-    core.options.logger.event(ReplicationEvent.MembersKnown, {
+    core.options.logger.event(ReplicationEvent.MembersChanged, {
       index: core.state.members.latestIndex,
       voters: voters.map(({ hostId }) => hostId),
       learners: core.members.filter(({ role }) => role === MemberRole.Learner).map(({ hostId }) => hostId),
--- a/src/replication/log/membershipChanges.ts
+++ b/src/replication/log/membershipChanges.ts
@@ -13,7 +13,7 @@
 import type { Leadership } from './leadership.js'
 import { MemberRole, quorumCount, votersOf, type Member } from './members.js'
 import type { ReplicaCore } from './replicaCore.js'
-import { learnerToPromote, excessMember, hasPlace, type ReplicaPlacement } from './replicaPlacement.js'
+import { learnerToPromote, excessMember, shouldAdmit, type ReplicaPlacement } from './replicaPlacement.js'
 
 export type MembershipOutcome =
   | { kind: 'accepted' }
@@ -136,7 +136,7 @@
     const { placement } = this._policy
     if (!placement || predecessors.length > 0) return true
     const answering = this._withoutLeaving(this._core.members).filter(member => this._silentMs(member) <= REPLACE_SILENT_AFTER_MS)
-    return hasPlace(placement, answering, newcomer)
+    return shouldAdmit(placement, answering, newcomer)
   }
 
   /** Promotes a spare before a voter is removed that is needed for the minimum number of voters. */
--- a/src/replication/log/membershipHistory.ts
+++ b/src/replication/log/membershipHistory.ts
@@ -62,7 +62,7 @@
     this._onChanged = onChanged
   }
 
-  note (entry: LogEntry): void {
+  record (entry: LogEntry): void {
     if (entry.kind !== EntryKind.Membership) return
     this._changes.push({ index: entry.index, members: decodeMembership(entry.payload).members })
     this._onChanged()
--- a/src/replication/log/persistentState.ts
+++ b/src/replication/log/persistentState.ts
@@ -28,7 +28,7 @@
     const base = { index: snapshot?.lastIndex ?? 0, term: snapshot?.lastTerm ?? 0, atMs: snapshot?.lastAtMs ?? 0 }
     this.log = new EntryLog(base, entries.filter(entry => entry.index > base.index))
     this.members = new MembershipHistory(base.index, snapshot?.members ?? [])
-    for (const entry of this.log.after(base.index)) this.members.note(entry)
+    for (const entry of this.log.after(base.index)) this.members.record(entry)
     this._hardState = loaded.hardState
     this.writer = writer
   }
@@ -50,7 +50,7 @@
   append (entries: LogEntry[]): number {
     for (const entry of entries) {
       this.log.append(entry)
-      this.members.note(entry)
+      this.members.record(entry)
     }
     return this.writer.enqueue(entries.map(entry => ({ kind: 'entry', entry })))
   }
--- a/src/replication/log/replica.ts
+++ b/src/replication/log/replica.ts
@@ -17,7 +17,7 @@
 import type { ReplicatedState } from '../replicatedState.js'
 import type { OpenedReplica } from '../storage/replicaStorage.js'
 import { DurableWriter } from './durableWriter.js'
-import { Follower } from './following.js'
+import { Follower } from './follower.js'
 import { Handover } from './handover.js'
 import { Leadership } from './leadership.js'
 import { JoinRefusals } from './joinRefusals.js'
@@ -178,7 +178,7 @@
   }
 
   /** Waits until the state contains everything that earlier leaders committed; for a replica that has just become leader. */
-  async whenCurrent (scope: Scope): Promise<void> {
+  async whenCaughtUp (scope: Scope): Promise<void> {
     const { clock } = this._options
     for (;;) {
       const read = await this.read(ReadMode.Quorum, new Progress(clock, scope, clock.nowMs() + CURRENT_TIMEOUT_MS))
@@ -202,7 +202,7 @@
     const changes = this._activeChanges
     if (!changes) return { kind: 'refused', reason: 'not the leader' }
     const outcome = changes.join(newcomer)
-    this._joinRefusals.note(newcomer, outcome, this.core.members.length)
+    this._joinRefusals.record(newcomer, outcome, this.core.members.length)
     return outcome
   }
 
@@ -245,7 +245,7 @@
     const { clock, random, timings } = this._options
     const timeoutMs = random.int(timings.electionMinMs, timings.electionMaxMs)
     const pauseEndsAtMs = clock.nowMs() + pauseMs
-    const dueAtMs = (): number => Math.max(pauseEndsAtMs, this.core.quietSinceMs + timeoutMs * this.core.electionTimeoutFactor)
+    const dueAtMs = (): number => Math.max(pauseEndsAtMs, this.core.electionTimerStartedAtMs + timeoutMs * this.core.electionTimeoutFactor)
     while (clock.nowMs() < dueAtMs() && this._handedOverTerm === undefined) {
       await this._campaignRequested.wait(scope, { clock, deadlineMs: dueAtMs() })
     }
--- a/src/replication/log/replicaCore.ts
+++ b/src/replication/log/replicaCore.ts
@@ -15,7 +15,7 @@
 import { isVoter, type Member } from './members.js'
 import type { PersistentState } from './persistentState.js'
 import type { Addressed } from './raftMethods.js'
-import { SnapshotFigures } from './snapshotFigures.js'
+import { SnapshotStats } from './snapshotStats.js'
 import type { LogTimings } from './timings.js'
 
 export enum ReplicaRole {
@@ -50,7 +50,7 @@
 export class ReplicaCore {
   readonly options: CoreOptions
   readonly state: PersistentState
-  readonly snapshotStats: SnapshotFigures
+  readonly snapshotStats: SnapshotStats
   /** Notified when the commit index advances. */
   readonly committed = new Signal()
   /** Notified when the leader or the term changes. */
@@ -68,7 +68,7 @@
   constructor (options: CoreOptions, commitIndex: number) {
     this.options = options
     this.state = options.state
-    this.snapshotStats = new SnapshotFigures(options.clock)
+    this.snapshotStats = new SnapshotStats(options.clock)
     this.commitIndex = commitIndex
     // After a restart, the replica does not know which leader it last answered.
     // It votes for nobody until any lease that its last answers supported has
@@ -102,7 +102,7 @@
   }
 
   /** Start of the election timer: the later of the leader's last call and this replica's last granted vote. */
-  get quietSinceMs (): number {
+  get electionTimerStartedAtMs (): number {
     return Math.max(this._lastLeaderContactMs, this._lastVoteGrantedMs)
   }
 
@@ -131,12 +131,12 @@
    */
   async accepts (request: Addressed): Promise<boolean> {
     if (request.toReplicaId !== this.replicaId) return false
-    if (this.clusterId === null) await this.adopt(request.clusterId)
+    if (this.clusterId === null) await this.adoptCluster(request.clusterId)
     return this.clusterId === request.clusterId
   }
 
   /** Binds the replica permanently to a cluster; later calls have no effect. */
-  async adopt (clusterId: string): Promise<void> {
+  async adoptCluster (clusterId: string): Promise<void> {
     this._adoption ??= this.options.storage.adoptCluster(clusterId)
     await this._adoption
   }
@@ -214,7 +214,7 @@
   }
 
   /** Waits until all changes made so far are synced to disk. */
-  async settled (scope: Scope): Promise<void> {
+  async whenDurable (scope: Scope): Promise<void> {
     await this.state.writer.whenDurable(this.state.writer.latestTicket, scope)
   }
 }
--- a/src/replication/log/replicaPlacement.ts
+++ b/src/replication/log/replicaPlacement.ts
@@ -32,7 +32,7 @@
  * Whether a newcomer is to be added to the members.
  * @param staying members whose hosts are not leaving
  */
-export function hasPlace (placement: ReplicaPlacement, staying: readonly Member[], newcomer: Omit<Member, 'role'>): boolean {
+export function shouldAdmit (placement: ReplicaPlacement, staying: readonly Member[], newcomer: Omit<Member, 'role'>): boolean {
   const hostIds = new Set(staying.map(({ hostId }) => hostId))
   if (hostIds.size >= membersCount(placement)) return false
   // Too few voters are worse than an uneven distribution over data centres.
@@ -70,7 +70,7 @@
 }
 
 /** Selects hosts by taking them from each data centre in turn, in the order of the list. */
-export function spreadOver<T extends { dataCentre: string }> (hosts: readonly T[], count: number): T[] {
+export function spreadOverDataCentres<T extends { dataCentre: string }> (hosts: readonly T[], count: number): T[] {
   const byDataCentre = new Map<string, T[]>()
   for (const host of hosts) byDataCentre.set(host.dataCentre, [...byDataCentre.get(host.dataCentre) ?? [], host])
   const chosen: T[] = []
--- a/src/replication/log/snapshotFigures.ts
+++ b/src/replication/log/snapshotStats.ts
@@ -14,7 +14,7 @@
   tookMs: number
 }
 
-export class SnapshotFigures {
+export class SnapshotStats {
   private readonly _clock: Clock
   private readonly _latest = new Map<SnapshotSource, SnapshotStat>()
   /** The leader's snapshot that is being received. */
@@ -30,13 +30,13 @@
   }
 
   /** Records the arrival of a chunk of the leader's snapshot. */
-  noteArriving (lastIndex: number): void {
+  recordChunkArrived (lastIndex: number): void {
     if (this._arriving?.lastIndex === lastIndex) return
     this._arriving = { lastIndex, sinceMs: this._clock.nowMs() }
   }
 
   /** Records that the leader's snapshot is installed; returns the milliseconds since its first chunk arrived. */
-  noteInstalled (bytesCount: number): number {
+  recordInstalled (bytesCount: number): number {
     const sinceMs = this._arriving?.sinceMs ?? this._clock.nowMs()
     this._arriving = undefined
     return this._record(SnapshotSource.Installed, bytesCount, this._clock.nowMs() - sinceMs)
--- a/src/replication/log/voterWatch.ts
+++ b/src/replication/log/voterWatch.ts
@@ -32,7 +32,7 @@
       if (!this._silent.has(replicaId)) this._log(ReplicationEvent.VoterSilent, { hostId, replicaId, ...counts })
     }
     for (const { replicaId, hostId } of answering) {
-      if (this._silent.has(replicaId)) this._log(ReplicationEvent.VoterAnswers, { hostId, replicaId, ...counts })
+      if (this._silent.has(replicaId)) this._log(ReplicationEvent.VoterRecovered, { hostId, replicaId, ...counts })
     }
     this._silent = new Set(silent.map(({ replicaId }) => replicaId))
   }
--- a/src/replication/log/voting.ts
+++ b/src/replication/log/voting.ts
@@ -55,7 +55,7 @@
       core.state.setHardState({ term: request.term, votedFor: request.fromReplicaId })
       core.recordVoteGranted()
     }
-    await core.settled(this._scope)
+    await core.whenDurable(this._scope)
     const isGiven = core.term === request.term && core.state.votedFor === request.fromReplicaId
     return isGiven ? { kind: 'granted' } : { kind: 'refused', term: core.term }
   }
@@ -79,7 +79,7 @@
     core.becomeCandidate()
     core.state.setHardState({ term, votedFor: core.replicaId })
     core.options.logger.event(ReplicationEvent.ElectionStarted, { term })
-    await core.settled(this._scope)
+    await core.whenDurable(this._scope)
     const isElected = this._isCandidateOf(term) && await this._collectVotes(term, isHandover ? BallotKind.Handover : BallotKind.Vote)
     return isElected && this._isCandidateOf(term) ? CampaignOutcome.Won : CampaignOutcome.Lost
   }
--- a/src/replication/storage/replicaStorage.ts
+++ b/src/replication/storage/replicaStorage.ts
@@ -12,7 +12,7 @@
 import { TEMPORARY_SUFFIX, writeAtomically, type Disk, type DiskFile } from './disk.js'
 import { encodeHeader, encodeSyncMark, encodeRecord, HEADER_BYTES, type LogRecord } from './logRecords.js'
 import { IncomingSnapshot } from './incomingSnapshot.js'
-import { encodeIdentity, type ReplicaIdentity } from './replicaFile.js'
+import { encodeIdentity, type ReplicaIdentity } from './replicaIdentity.js'
 import { writeSnapshotFile, type SnapshotHeader, type WrittenSnapshot } from './snapshotFile.js'
 import { IDENTITY_FILE, latestLogSequence, loadReplica, logName, snapshotName, type LoadedReplica } from './storageLoader.js'
 
--- a/src/replication/storage/storageLoader.ts
+++ b/src/replication/storage/storageLoader.ts
@@ -7,7 +7,7 @@
 import type { HardState, LogEntry } from '../log/logEntry.js'
 import type { Disk } from './disk.js'
 import { readRecords, type LogRecord } from './logRecords.js'
-import { decodeIdentity, type ReplicaIdentity } from './replicaFile.js'
+import { decodeIdentity, type ReplicaIdentity } from './replicaIdentity.js'
 import { readSnapshotFile, type Snapshot } from './snapshotFile.js'
 
 export const IDENTITY_FILE = 'replica'
--- a/src/transport/controlMethods.ts
+++ b/src/transport/controlMethods.ts
@@ -3,7 +3,7 @@
  */
 import { z } from 'zod'
 import {
-  changesNoticeSchema, findLeaderReplySchema, queryReplySchema, queryRequestSchema, readIndexReplySchema,
+  changesNotificationSchema, findLeaderReplySchema, queryReplySchema, queryRequestSchema, readIndexReplySchema,
   renewReplySchema, renewRequestSchema, submitReplySchema, submitRequestSchema
 } from '../protocol/controlMessages.js'
 import { rpcMethod } from './rpcPeer.js'
@@ -15,4 +15,4 @@
 /** Returns the index that a host that does not lead must have applied before it answers a read. */
 export const readIndexMethod = rpcMethod('control.readIndex', z.object({}), readIndexReplySchema)
 /** Sent by the leader to entry hosts, one-way. */
-export const changesMethod = rpcMethod('control.changes', changesNoticeSchema, z.void())
+export const changesMethod = rpcMethod('control.changes', changesNotificationSchema, z.void())
--- a/src/utils/clock.ts
+++ b/src/utils/clock.ts
@@ -4,7 +4,7 @@
  * the clocks of hosts are not synchronized.
  */
 import type { Scope } from './scope.js'
-import { SuspensionSense } from './suspension.js'
+import { SuspensionDetector } from './suspension.js'
 
 export interface Clock {
   /** Monotonic, in milliseconds from an arbitrary origin. */
@@ -24,7 +24,7 @@
 /** Value of `systemClock.nowMs()` when this process started: performance.now() counts from there. */
 export const PROCESS_STARTED_AT_MS = 0
 
-const suspensionDetector = new SuspensionSense(() => performance.now(), () => Date.now())
+const suspensionDetector = new SuspensionDetector(() => performance.now(), () => Date.now())
 
 export const systemClock: Clock = {
   nowMs: () => performance.now(),
--- a/src/utils/logOutput.ts
+++ b/src/utils/logOutput.ts
@@ -19,7 +19,7 @@
 export interface LogOutputOptions {
   stream: Writable
   clock: Clock
-  onLeftOut: (reason: DropReason) => void
+  onDropped: (reason: DropReason) => void
 }
 
 export class LogOutput {
@@ -27,7 +27,7 @@
   private readonly _stream: Writable
   private _isBroken = false
 
-  constructor ({ stream, clock, onLeftOut: onLineDropped }: LogOutputOptions) {
+  constructor ({ stream, clock, onDropped: onLineDropped }: LogOutputOptions) {
     this._stream = stream
     this.budget = new LogBudget({
       clock,
@@ -43,7 +43,7 @@
   }
 
   /** Makes this stream the log destination of this process. */
-  use (): void {
+  install (): void {
     writeLogsTo(line => this._stream.write(line))
   }
 
--- a/src/utils/repeatedNews.ts
+++ b/src/utils/logThrottle.ts
@@ -10,7 +10,7 @@
 /** Most recent texts that are tracked; with more at once, the oldest count as new. */
 const MAX_TEXTS_COUNT = 64
 
-export class RepeatedNews {
+export class LogThrottle {
   private readonly _clock: Clock
   private readonly _nextLogAtMs = new LRUCache<string, number>({ max: MAX_TEXTS_COUNT })
 
@@ -19,7 +19,7 @@
   }
 
   /** Whether to log the text now; if so, records it as logged. */
-  isNews (text: string): boolean {
+  shouldLog (text: string): boolean {
     const nowMs = this._clock.nowMs()
     if (nowMs < (this._nextLogAtMs.get(text) ?? 0)) return false
     this._nextLogAtMs.set(text, nowMs + REPEAT_MS)
--- a/src/utils/memoryEvents.ts
+++ b/src/utils/memoryEvents.ts
@@ -5,11 +5,11 @@
 import { LogLevel, type EventCatalogue } from './eventCatalogue.js'
 
 export enum MemoryEvent {
-  LevelPassed = 910,
-  LevelLeft = 911
+  LevelReached = 910,
+  LevelCleared = 911
 }
 
 export const memoryEventCatalogue: EventCatalogue = {
-  [MemoryEvent.LevelPassed]: { level: LogLevel.Warn, text: 'The resident memory of this process has reached a warning level of its memory limit.', advice: 'At 85 percent find out what grows: the heap (heapBytes), buffers (externalBytes), or neither. At 95 percent expect the host to kill the process; see "When accepted batches can\'t be read" in OPERATIONS.md.' },
-  [MemoryEvent.LevelLeft]: { level: LogLevel.Info, text: 'The resident memory of this process is below a warning level again.', advice: 'None.' }
+  [MemoryEvent.LevelReached]: { level: LogLevel.Warn, text: 'The resident memory of this process has reached a warning level of its memory limit.', advice: 'At 85 percent find out what grows: the heap (heapBytes), buffers (externalBytes), or neither. At 95 percent expect the host to kill the process; see "When accepted batches can\'t be read" in OPERATIONS.md.' },
+  [MemoryEvent.LevelCleared]: { level: LogLevel.Info, text: 'The resident memory of this process is below a warning level again.', advice: 'None.' }
 }
--- a/src/utils/memoryWatch.ts
+++ b/src/utils/memoryWatch.ts
@@ -87,10 +87,10 @@
     const fields: LogFields = { levelPercent, limitBytes, ...use }
     if (!this._exceededLevels.has(levelPercent) && usedPercent >= levelPercent) {
       this._exceededLevels.add(levelPercent)
-      this._options.logger.event(MemoryEvent.LevelPassed, fields)
+      this._options.logger.event(MemoryEvent.LevelReached, fields)
     } else if (this._exceededLevels.has(levelPercent) && usedPercent < levelPercent - CLEARING_MARGIN_PERCENT) {
       this._exceededLevels.delete(levelPercent)
-      this._options.logger.event(MemoryEvent.LevelLeft, fields)
+      this._options.logger.event(MemoryEvent.LevelCleared, fields)
     }
   }
 }
--- a/src/utils/programMain.ts
+++ b/src/utils/programMain.ts
@@ -82,8 +82,8 @@
   const { hostId, dataCentre } = settings.host
   const metrics = settings.metrics ? statsdMetrics(parseAddress(settings.metrics.statsdAddress), { hostId, dataCentre }) : memoryMetrics()
   const countDropped = (reason: string): void => metrics.count(MetricName.LogLinesLeftOut, { reason })
-  const output = new LogOutput({ stream: process.stderr, clock: systemClock, onLeftOut: countDropped })
-  output.use()
+  const output = new LogOutput({ stream: process.stderr, clock: systemClock, onDropped: countDropped })
+  output.install()
   const logger = createLogger(description.eventCatalogue, { program: description.name, hostId }, output.budget)
   const onFatal = (error: unknown): void => {
     logger.event(description.brokenInvariantEvent, { error: error instanceof Error ? error.stack : String(error) })
--- a/src/utils/progress.ts
+++ b/src/utils/progress.ts
@@ -35,7 +35,7 @@
     return Math.max(0, this.deadlineMs - this.clock.nowMs())
   }
 
-  isOver (): boolean {
+  isPastDeadline (): boolean {
     return this.clock.nowMs() >= this.deadlineMs
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** A progress with an earlier deadline, for one of several attempts. */
-  before (deadlineMs: number): Progress {
+  withDeadline (deadlineMs: number): Progress {
     return new Progress(this.clock, this.scope, Math.min(this.deadlineMs, deadlineMs))
   }
 
--- a/src/utils/retryBudget.ts
+++ b/src/utils/retryBudget.ts
@@ -24,12 +24,12 @@
     return this._balance
   }
 
-  depositFirstTry (): void {
+  depositFirstAttempt (): void {
     this._add(DEPOSIT_PER_FIRST_ATTEMPT)
   }
 
   /** Withdraws one retry; false if the budget is exhausted. */
-  take (): boolean {
+  tryWithdraw (): boolean {
     const nowMs = this._clock.nowMs()
     this._add((nowMs - this._updatedAtMs) / 1000 * ALLOWANCE_PER_SECOND)
     this._updatedAtMs = nowMs
--- a/src/utils/suspension.ts
+++ b/src/utils/suspension.ts
@@ -12,7 +12,7 @@
  */
 const MIN_SUSPENSION_MS = 100
 
-export class SuspensionSense {
+export class SuspensionDetector {
   private readonly _nowMs: () => number
   private readonly _wallMs: () => number
   private _wallOffsetMs: number
--- a/standins/entryClient.ts
+++ b/standins/entryClient.ts
@@ -60,7 +60,7 @@
   }
 
   /** Expires the cached advice, for instance after a lost connection, and moves on to the next host. */
-  forgetAdvice (): void {
+  invalidateAdvice (): void {
     this._validUntilMs = 0
     this._hostIndex++
   }
