--- a/standins/generationRecord.ts
+++ b/standins/generationRecord.ts
@@ -19,7 +19,7 @@
 }
 
 /** The engine and weight version that generated tokens. */
-export type TokenMaker = Omit<VersionSpan, 'fromToken' | 'toToken'>
+export type TokenOrigin = Omit<VersionSpan, 'fromToken' | 'toToken'>
 
 /** One line of the file, as JSON. */
 interface JournalLine {
@@ -29,7 +29,7 @@
   prompt: string
   fromToken: number
   tokens: string[]
-  maker: TokenMaker
+  maker: TokenOrigin
 }
 
 const MAX_ENTRIES = 50_000
@@ -56,12 +56,12 @@
     return entry
   }
 
-  add (entry: GenerationEntry, tokens: string[], maker: TokenMaker): void {
+  add (entry: GenerationEntry, tokens: string[], maker: TokenOrigin): void {
     if (this._file !== undefined) this._append(this._file, entry, tokens, maker)
     addTokens(entry, tokens, maker)
   }
 
-  private _append (file: string, entry: GenerationEntry, tokens: string[], maker: TokenMaker): void {
+  private _append (file: string, entry: GenerationEntry, tokens: string[], maker: TokenOrigin): void {
     const { requestId, prompt } = entry
     const line: JournalLine = { entryNumber: this._numbers.get(entry) ?? 0, requestId, prompt, fromToken: nextTokenIndex(entry), tokens, maker }
     appendFileSync(file, `${JSON.stringify(line)}\n`)
@@ -86,7 +86,7 @@
   return entry.resumedFromToken + entry.tokens.length
 }
 
-function addTokens (entry: GenerationEntry, tokens: string[], maker: TokenMaker): void {
+function addTokens (entry: GenerationEntry, tokens: string[], maker: TokenOrigin): void {
   const fromToken = nextTokenIndex(entry)
   const toToken = fromToken + tokens.length
   const last = entry.spans.at(-1)
--- a/standins/modelEngine.ts
+++ b/standins/modelEngine.ts
@@ -15,11 +15,11 @@
 import { GenerationBatch } from './generationBatch.js'
 import { GenerationRecord } from './generationRecord.js'
 import { LoadLag } from './loadLag.js'
-import { OrderExecutor, SwapFault, type EngineState } from './orderDesk.js'
+import { OrderExecutor, SwapFault, type EngineState } from './orderExecutor.js'
 import { PrefixCache } from './prefixCache.js'
 import { readJson, sendJson, StandInServer, type StandInExchange } from './standInServer.js'
 import type { EngineSettings } from './standInSettings.js'
-import { waitUntilIdle } from './untilIdle.js'
+import { waitUntilIdle } from './waitUntilIdle.js'
 
 /** Body of PUT /control/faults. */
 export const engineFaultsSchema = z.strictObject({
--- a/standins/orderDesk.ts
+++ b/standins/orderExecutor.ts
@@ -10,7 +10,7 @@
 /** A fault that is injected into the next swap of weights. */
 export enum SwapFault {
   /** The old version stays in effect, and the reply reports the failure. */
-  KeepsOld = 'keepsOld',
+  KeepsOldVersion = 'keepsOld',
   /** The new version takes effect, but the reply is lost. */
   LosesReply = 'losesReply',
   /** The new version takes effect, but the reply reports a failure. */
@@ -107,7 +107,7 @@
     const failure = await fetchWeights(sourceUrl)
     if (failure !== undefined) return failed(state, failure)
     const fault = this.swapFaults.shift()
-    if (fault === SwapFault.KeepsOld) return failed(state, 'injected fault: the swap failed and the old version stays in effect')
+    if (fault === SwapFault.KeepsOldVersion) return failed(state, 'injected fault: the swap failed and the old version stays in effect')
     await state.swap(() => { state.weightVersion = weightVersion })
     if (fault === SwapFault.LosesReply) return { kind: 'replyLost' }
     if (fault === SwapFault.ReportsFailure) return failed(state, 'injected fault: the swap reported a failure after the new version took effect')
--- a/standins/plainService.ts
+++ b/standins/plainService.ts
@@ -14,7 +14,7 @@
 import { LoadLag } from './loadLag.js'
 import { readBody, readJson, sendJson, StandInServer, type StandInExchange } from './standInServer.js'
 import type { ServiceSettings } from './standInSettings.js'
-import { waitUntilIdle } from './untilIdle.js'
+import { waitUntilIdle } from './waitUntilIdle.js'
 
 /** A fault that is injected into one call. */
 export enum ServiceFault {
--- a/standins/streamReader.ts
+++ b/standins/streamReader.ts
@@ -3,7 +3,7 @@
 import { ReadableStream } from 'node:stream/web'
 import { completionChunkSchema, type CompletionChunk } from '../src/protocol/endpoints.js'
 
-export interface ReadStream {
+export interface StreamResult {
   tokens: string[]
   /** Chunks in order of arrival. */
   chunks: CompletionChunk[]
@@ -16,8 +16,8 @@
 const END_MARK = '[DONE]'
 
 /** @param onChunk called for each chunk on arrival */
-export async function readStream (body: AsyncIterable<Uint8Array>, onChunk: (chunk: CompletionChunk) => void = () => {}): Promise<ReadStream> {
-  const result: ReadStream = { tokens: [], chunks: [], isWhole: false, misplacedCount: 0 }
+export async function readStream (body: AsyncIterable<Uint8Array>, onChunk: (chunk: CompletionChunk) => void = () => {}): Promise<StreamResult> {
+  const result: StreamResult = { tokens: [], chunks: [], isWhole: false, misplacedCount: 0 }
   const events = ReadableStream.from(body).pipeThrough(new TextDecoderStream()).pipeThrough(new EventSourceParserStream())
   try {
     for await (const { data } of events) {
@@ -30,7 +30,7 @@
   return result
 }
 
-function addChunk (result: ReadStream, chunk: CompletionChunk, onChunk: (chunk: CompletionChunk) => void): void {
+function addChunk (result: StreamResult, chunk: CompletionChunk, onChunk: (chunk: CompletionChunk) => void): void {
   if (chunk.token_offset !== result.tokens.length) result.misplacedCount++
   result.tokens.push(...chunk.tokens)
   result.chunks.push(chunk)
--- a/standins/trainer.ts
+++ b/standins/trainer.ts
@@ -172,7 +172,7 @@
         return { kind: 'fenced' }
       }
       this._retriesCount++
-      this._client.forgetAdvice()
+      this._client.invalidateAdvice()
       await this._pause(answer.kind === 'refused' ? answer.refusal.retryAfterMs ?? RETRY_DELAY_MS : RETRY_DELAY_MS)
     }
   }
--- a/standins/versionCheck.ts
+++ b/standins/versionCheck.ts
@@ -9,7 +9,7 @@
 export type EngineRecords = GenerationEntry[]
 
 /** Returns one line per version span that no engine record confirms; empty if all versions are correct. */
-export function findFalseVersions (samples: readonly Sample[], records: EngineRecords): string[] {
+export function findVersionMismatches (samples: readonly Sample[], records: EngineRecords): string[] {
   const entriesByPrompt = new Map<string, GenerationEntry[]>()
   for (const entry of records) entriesByPrompt.set(entry.prompt, [...entriesByPrompt.get(entry.prompt) ?? [], entry])
   return samples.flatMap(sample => {
--- a/tests/accounts/admission.test.ts
+++ b/tests/accounts/admission.test.ts
@@ -45,7 +45,7 @@
 }
 
 test('should decide each call by the version in force at that moment', t => {
-  const admission = new CallerAdmission({ policy: lenient, outOfTouchMs: () => 0 })
+  const admission = new CallerAdmission({ policy: lenient, disconnectedMs: () => 0 })
   const routingWith = (version: number, holder: string | undefined) => ({ ...routing(version), accounts: [{ name: holder ?? 'other', keyDigests: holder === undefined ? [] : [digestOfKey(KEY)] }] })
   t.like(admission.decide(routingWith(1, 'learners'), false, KEY).admission, { kind: 'admitted', account: 'learners' })
   t.like(admission.decide(routingWith(2, undefined), false, KEY).admission, { kind: 'refused' })
@@ -54,7 +54,7 @@
 })
 
 test('should name a key by the start of its digest alone', t => {
-  const { keyName } = new CallerAdmission({ policy: lenient, outOfTouchMs: () => 0 }).decide({ ...routing(1), accounts: [] }, false, KEY)
+  const { keyName } = new CallerAdmission({ policy: lenient, disconnectedMs: () => 0 }).decide({ ...routing(1), accounts: [] }, false, KEY)
   t.is(keyName, shortDigest(digestOfKey(KEY)))
   t.false(keyName?.includes(KEY))
 })
--- a/tests/batches/assignmentRound.test.ts
+++ b/tests/batches/assignmentRound.test.ts
@@ -34,7 +34,7 @@
   const runs = Array.from({ length: batchesCount }, (_value, position) => {
     const itemIds = Array.from({ length: itemsCount }, (_item, item) => `b${position}i${item}`)
     const batch = Batch.accepted(submission(`b${position}`, itemIds), 0, 1)
-    const times = { dueAtMs: 7_500, giveUpAtMs: 40_000, longestEndsAtMs: 7_000 }
+    const times = { dueAtMs: 7_500, abandonAtMs: 40_000, longestEndsAtMs: 7_000 }
     return batch.openItems().map(item => ({ batch, item, times, dueAtMs: 7_500, remainingTokensCount: 500 }) as unknown as ItemRun)
   }).flat()
   const modelEngine = { slotsCount: SLOTS_COUNT, kvCapacityTokens: 60_000, tokensPerEvent: TOKENS_PER_EVENT, models: ['hints-model'] }
@@ -58,7 +58,7 @@
   for (const run of runs) {
     const chosen = round.engineFor(run, 0)
     if (!chosen) continue
-    chosen.enter(100)
+    chosen.addRun(100)
     assignedCount++
   }
   return assignedCount
@@ -93,7 +93,7 @@
   const all = world(1, itemsCount)
   let readsCount = 0
   for (const [position, each] of all.engines.entries()) {
-    each.pace.sawGap(position === 0 ? 80 : 38)
+    each.pace.recordGap(position === 0 ? 80 : 38)
     let runningCount = position === 0 ? 0 : SLOTS_COUNT
     Object.defineProperty(each, 'runningCount', {
       get: () => {
@@ -119,7 +119,7 @@
   const { round, runs, engines } = world(1, 3)
   const chosen = runs.map(run => {
     const engineOf = round.engineFor(run, 0)
-    engineOf?.enter(100)
+    engineOf?.addRun(100)
     return engineOf
   })
   t.is(new Set(chosen).size, 3)
--- a/tests/batches/batchClient.test.ts
+++ b/tests/batches/batchClient.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { FakeStore, SILENT } from '../fixtures/fleet/fakeStore.js'
+import { FakeStore, NO_REPLY } from '../fixtures/fleet/fakeStore.js'
 
 const DEADLINE_MS = 1_500
 const refused = { kind: 'refused', reason: 'another entry took its place' } as const
@@ -8,11 +8,11 @@
 
 test('should not report a batch as refused when an earlier call was lost and may still commit', async t => {
   const store = new FakeStore()
-  await store.addHost('10.0.0.1', [SILENT, refused], true)
+  await store.addHost('10.0.0.1', [NO_REPLY, refused], true)
   await store.addHost('10.0.0.2', [refused])
   const reply = await store.submit(DEADLINE_MS)
   t.is(reply.kind, 'unknown')
-  t.true(store.askedHosts.length > 1, 'the call was retried')
+  t.true(store.submissionTargets.length > 1, 'the call was retried')
   store.close()
 })
 
@@ -36,21 +36,21 @@
   const store = new FakeStore()
   await store.addHost('10.0.0.1', [full, { kind: 'accepted' }], true)
   t.like(await store.submit(DEADLINE_MS), { kind: 'refused', reason: full.reason })
-  t.deepEqual(store.askedHosts, ['10.0.0.1'])
+  t.deepEqual(store.submissionTargets, ['10.0.0.1'])
   store.close()
 })
 
 test('should not retry after a final refusal that follows a lost call, nor report the batch as refused', async t => {
   const store = new FakeStore()
-  await store.addHost('10.0.0.1', [SILENT, full, { kind: 'accepted' }], true)
+  await store.addHost('10.0.0.1', [NO_REPLY, full, { kind: 'accepted' }], true)
   t.is((await store.submit(DEADLINE_MS)).kind, 'unknown')
-  t.is(store.askedHosts.length, 2)
+  t.is(store.submissionTargets.length, 2)
   store.close()
 })
 
 test('should retry after a lost call, and report the batch as accepted when it was', async t => {
   const store = new FakeStore()
-  await store.addHost('10.0.0.1', [SILENT, { kind: 'accepted' }], true)
+  await store.addHost('10.0.0.1', [NO_REPLY, { kind: 'accepted' }], true)
   t.deepEqual(await store.submit(DEADLINE_MS), { kind: 'accepted' })
   store.close()
 })
@@ -65,14 +65,14 @@
 test('should report a batch as refused when no host of the store is known', async t => {
   const store = new FakeStore()
   t.is((await store.submit(DEADLINE_MS)).kind, 'refused')
-  t.deepEqual(store.askedHosts, [])
+  t.deepEqual(store.submissionTargets, [])
   store.close()
 })
 
 test('should soon read from the leader after a nearby replica has died, and not use that replica for a while', async t => {
   const store = new FakeStore()
-  const nearby = await store.addReader('10.0.0.1', 'north')
-  const leader = await store.addReader('10.0.0.2', 'south')
+  const nearby = await store.addReadReplica('10.0.0.1', 'north')
+  const leader = await store.addReadReplica('10.0.0.2', 'south')
   t.is((await store.read(1_000, 2_000)).kind, 'results')
   t.is(leader.readsCount, 0)
   nearby.isSilent = true
@@ -89,7 +89,7 @@
 
 test('should wait for results as long as its caller does, and no longer', async t => {
   const store = new FakeStore()
-  await store.addReader('10.0.0.1', 'north')
+  await store.addReadReplica('10.0.0.1', 'north')
   const { kind, tookMs } = await store.read(1_000, 2_000)
   t.is(kind, 'results')
   t.true(tookMs >= 1_000 && tookMs <= 1_020, `${tookMs} ms`)
@@ -98,9 +98,9 @@
 
 test('should not read from a store host without a replica, and use the replicas in other data centres in turn', async t => {
   const store = new FakeStore()
-  const first = await store.addReader('10.0.0.1', 'east')
-  const second = await store.addReader('10.0.0.2', 'south')
-  const outsider = await store.addReader('10.0.0.3', 'north')
+  const first = await store.addReadReplica('10.0.0.1', 'east')
+  const second = await store.addReadReplica('10.0.0.2', 'south')
+  const outsider = await store.addReadReplica('10.0.0.3', 'north')
   for (let read = 0; read < 4; read++) t.is((await store.read(100, 2_000)).kind, 'results')
   t.is(outsider.readsCount, 0)
   t.deepEqual([first.readsCount, second.readsCount], [2, 2])
--- a/tests/batches/batchReports.test.ts
+++ b/tests/batches/batchReports.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { setBatchGauges, reportForgotten, UnknownBatchReporter } from '../../src/batches/batchReports.js'
+import { setBatchGauges, reportExpired, UnknownBatchReporter } from '../../src/batches/batchReports.js'
 import { BatchEvent } from '../../src/batches/batchEvents.js'
 import { BatchService } from '../../src/batches/batchService.js'
 import { BatchState } from '../../src/batches/batchState.js'
@@ -46,7 +46,7 @@
 
 test('should log an expired batch, with the times that decided its removal', t => {
   const { logger, events } = recorder()
-  const state = new BatchState({ onOrder: () => {}, onNamed: () => {}, onForgotten: (batch, decidedAtMs) => reportForgotten(logger, batch, decidedAtMs) })
+  const state = new BatchState({ onOrder: () => {}, onNamed: () => {}, onBatchExpired: (batch, decidedAtMs) => reportExpired(logger, batch, decidedAtMs) })
   applyAll(state, [submit(submission('b1', ['i1'])), submit(submission('b2', ['i2'])), { kind: BatchCommandKind.End, batchId: 'b1' }], 1_000)
   applyAll(state, [submit(submission('b3', ['i3']))], KEEP_MS + 1_000)
   t.deepEqual(events, [])
--- a/tests/batches/deadlyItem.test.ts
+++ b/tests/batches/deadlyItem.test.ts
@@ -46,6 +46,6 @@
   await world.untilListed('b1', 3, 5_000)
   await world.untilListed('b1', 4, MAX_QUEUE_MS + 2_000)
   const states = world.state.get('b1')?.results.map(({ itemId, state }) => [itemId, state])
-  t.deepEqual(states?.at(-1), [DEADLY, ResultState.GivenUp])
+  t.deepEqual(states?.at(-1), [DEADLY, ResultState.Abandoned])
   t.is(states?.filter(([, state]) => state === ResultState.Completed).length, 3)
 })
--- a/tests/batches/dispatching.test.ts
+++ b/tests/batches/dispatching.test.ts
@@ -52,7 +52,7 @@
   await world.submit(submission('b1', ['i1']))
   await world.clock.advance(500)
   world.stopDispatching()
-  world.dispatch()
+  world.startDispatching()
   await world.untilListed('b1', 1)
   const [, second] = world.endpoints.runs
   t.true((second?.afterEventId ?? 0) >= 16, `resumes after event ${second?.afterEventId}`)
@@ -67,7 +67,7 @@
   await world.clock.advance(250)
   await world.keepOutputs()
   world.stopDispatching()
-  world.dispatch()
+  world.startDispatching()
   await world.untilListed('b1', 2)
   const returned = world.endpoints.runs.slice(2).map(({ afterEventId }) => afterEventId)
   t.deepEqual(returned, [12, 12])
@@ -114,7 +114,7 @@
   )
   await world.submit(submission('b1', ['i1', 'i2']))
   await world.untilListed('b1', 2)
-  t.deepEqual(world.state.get('b1')?.results.map(({ state }) => state), [ResultState.GivenUp, ResultState.GivenUp])
+  t.deepEqual(world.state.get('b1')?.results.map(({ state }) => state), [ResultState.Abandoned, ResultState.Abandoned])
   t.is(world.endpoints.runs.filter(({ attemptId }) => attemptId === 'i1').length, 3)
   t.is(world.endpoints.runs.filter(({ attemptId }) => attemptId === 'i2').length, 1)
   world.close()
@@ -126,7 +126,7 @@
   await world.submit(submission('b1', ['i1', 'i2']))
   await world.untilListed('b1', 2)
   const byItem = new Map(world.state.get('b1')?.results.map(result => [result.itemId, result]))
-  t.is(byItem.get('i1')?.state, ResultState.GivenUp)
+  t.is(byItem.get('i1')?.state, ResultState.Abandoned)
   t.is(byItem.get('i2')?.score, 'receipt')
   world.close()
 })
@@ -171,7 +171,7 @@
     t.true((last?.afterEventId ?? 120) < 60, `${attemptId} was moved after event ${last?.afterEventId}`)
   }
   for (const { parts, itemId } of world.state.get('b1')?.results ?? []) t.is(textOf(parts), events(isLong(itemId) ? 120 : 20))
-  t.deepEqual(world.engineLoads(), [0, 0])
+  t.deepEqual(world.runningCounts(), [0, 0])
   world.close()
 })
 
@@ -191,7 +191,7 @@
 })
 
 test('should abandon no item by a default time while a leader that has just started has no routing configuration', async t => {
-  const world = await new StoreWorld({ engines: [engine('e1', 1)], isWithoutRouting: true }).start()
+  const world = await new StoreWorld({ engines: [engine('e1', 1)], lacksRouting: true }).start()
   const recoveredAtMs = world.clock.nowMs() + 20_000
   world.endpoints.onRun = () => (
     { eventsCount: 3, gapMs: 10, version: 1, ...(world.clock.nowMs() < recoveredAtMs ? { refuses: { kind: 'broken', reason: 'scripted' } } : {}) }
@@ -226,7 +226,7 @@
   const runsCount = world.endpoints.runs.length
   world.stopDispatching()
   await world.submit(submission('b3', ['i5', 'i6', 'i7']))
-  world.dispatch()
+  world.startDispatching()
   await world.clock.advance(50)
   const resumed = world.endpoints.runs.slice(runsCount, runsCount + 2).map(({ attemptId }) => attemptId)
   t.deepEqual(resumed.sort(), ['begun1', 'begun2'])
@@ -254,7 +254,7 @@
     await world.submit(submission('b1', ['i1']))
     await world.clock.advance(generatedCount * 40 + 20)
     world.stopDispatching()
-    world.dispatch()
+    world.startDispatching()
     await world.clock.advance(100)
     const replicatedCount = world.endpoints.runs[1]?.afterEventId ?? 0
     t.true(generatedCount - replicatedCount <= 7, `${replicatedCount} of ${generatedCount}`)
@@ -291,7 +291,7 @@
   await world.clock.advance(11_900)
   t.deepEqual(world.state.get('b1')?.results, [])
   await world.untilListed('b1', 1, 500)
-  t.is(world.state.get('b1')?.results[0]?.state, ResultState.GivenUp)
+  t.is(world.state.get('b1')?.results[0]?.state, ResultState.Abandoned)
   t.is(world.endpoints.runs.length, 0)
   world.close()
 })
@@ -307,7 +307,7 @@
   await world.submit(submission('b2', ['new'], { expectedTokensCount: 2_000 }))
   world.endpoints.onRun = () => ({ eventsCount: 3, gapMs: 20, version: 1 })
   await world.end('b0')
-  world.dispatch()
+  world.startDispatching()
   await world.untilListed('b2', 1)
   t.deepEqual(world.endpoints.runs.slice(-2).map(({ attemptId }) => attemptId), ['old', 'new'])
   world.close()
@@ -319,7 +319,7 @@
   await world.submit(submission('b1', ['i1'], { minVersion: 9 }))
   await world.clock.advance(8_000)
   world.stopDispatching()
-  world.dispatch()
+  world.startDispatching()
   await world.clock.advance(3_900)
   t.deepEqual(world.state.get('b1')?.results, [])
   await world.untilListed('b1', 1, 500)
--- a/tests/batches/itemOrder.test.ts
+++ b/tests/batches/itemOrder.test.ts
@@ -22,7 +22,7 @@
 function paced (endpointId: string, gapMs?: number, ownClock = clock): Engine {
   const result = new Engine(engine(endpointId, 1), new EndpointHealth({ clock: ownClock }), ownClock)
   const gapsMs = gapMs === undefined ? [] : Array.from({ length: KNOWN_GAPS_COUNT }, () => gapMs)
-  for (const seenMs of gapsMs) result.pace.sawGap(seenMs)
+  for (const seenMs of gapsMs) result.pace.recordGap(seenMs)
   return result
 }
 
@@ -50,7 +50,7 @@
   const slow = paced('e2', 60)
   t.is(fastestEngine([slow, fast], 40, 10_000), fast)
   const equal = paced('e3', 30)
-  fast.heldTokensCount = 5_000
+  fast.reservedTokensCount = 5_000
   t.is(fastestEngine([fast, equal], 40, 10_000), equal)
 })
 
@@ -74,9 +74,9 @@
 
 test('should forget a pace that was not seen for a while', async t => {
   const seen = paced('e1', 150)
-  t.is(seen.pace.presentGapMs, 150)
+  t.is(seen.pace.currentGapMs, 150)
   await clock.advance(4_000)
-  t.is(seen.pace.presentGapMs, undefined)
+  t.is(seen.pace.currentGapMs, undefined)
 })
 
 test('should expect no more of a run than the longest sample that was seen', t => {
@@ -110,14 +110,14 @@
   const uncertain = paced('e1', undefined, ownClock)
   for (let event = 0; event < 60; event++) {
     await ownClock.advance(38)
-    uncertain.pace.sawGap(38)
+    uncertain.pace.recordGap(38)
   }
-  for (let event = 0; event < 60; event++) uncertain.pace.sawGap(150)
+  for (let event = 0; event < 60; event++) uncertain.pace.recordGap(150)
   await ownClock.advance(5_000)
-  t.true(uncertain.pace.isInDoubt)
-  t.true(uncertain.mayRun('hints-model'))
+  t.true(uncertain.pace.needsProbe)
+  t.true(uncertain.canStartRun('hints-model'))
   const healthy = paced('e2', 40, ownClock)
   t.is(fastestEngine([uncertain, healthy], 40, 10_000), healthy)
-  uncertain.enter(100)
-  t.false(uncertain.mayRun('hints-model'))
+  uncertain.addRun(100)
+  t.false(uncertain.canStartRun('hints-model'))
 })
--- a/tests/batches/loadLanes.test.ts
+++ b/tests/batches/loadConcurrency.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { LoadConcurrency, type TimedLoad } from '../../src/batches/loadLanes.js'
+import { LoadConcurrency, type TimedLoad } from '../../src/batches/loadConcurrency.js'
 import { seededRandom, type RandomSource } from '../../src/utils/randomSource.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
--- a/tests/batches/runPlaces.test.ts
+++ b/tests/batches/placementSelector.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import type { Engine, EngineFleet } from '../../src/batches/engineFleet.js'
 import type { ItemRun } from '../../src/batches/itemRun.js'
-import { PlacementSelector } from '../../src/batches/runPlaces.js'
+import { PlacementSelector } from '../../src/batches/placementSelector.js'
 import { seededRandom } from '../../src/utils/randomSource.js'
 import { submission } from '../fixtures/fleet/batchFixtures.js'
 import { batchRoute, routing, viewOf } from '../fixtures/fleet/fleetFixtures.js'
--- a/tests/batches/silenceWatch.test.ts
+++ b/tests/batches/stallDetector.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import { EnginePace } from '../../src/batches/enginePace.js'
-import { StallDetector } from '../../src/batches/silenceWatch.js'
+import { StallDetector } from '../../src/batches/stallDetector.js'
 import { Scope } from '../../src/utils/scope.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
@@ -14,7 +14,7 @@
     await clock.advance(GAP_MS)
     detector.recordEvent()
   }
-  return pace.presentGapMs
+  return pace.currentGapMs
 }
 
 test('should learn the pace of an engine from the gaps between its events', async t => {
--- a/tests/batches/storePlacement.test.ts
+++ b/tests/batches/storePlacement.test.ts
@@ -8,7 +8,7 @@
 import { BatchCommandKind } from '../../src/protocol/batches.js'
 import { MemberRole, votersOf, type Member } from '../../src/replication/log/members.js'
 import { ReadMode, type Replica } from '../../src/replication/log/replica.js'
-import { excessMember, hasPlace, placementFor, spreadOver } from '../../src/replication/log/replicaPlacement.js'
+import { excessMember, shouldAdmit, placementFor, spreadOverDataCentres } from '../../src/replication/log/replicaPlacement.js'
 import { Progress } from '../../src/utils/progress.js'
 import { Scope } from '../../src/utils/scope.js'
 import { submission } from '../fixtures/fleet/batchFixtures.js'
@@ -165,16 +165,16 @@
 
 test('should choose the initial replicas from each data centre in turn', t => {
   const hosts = ['a', 'a', 'a', 'b', 'b', 'c'].map((dataCentre, number) => ({ dataCentre, number }))
-  t.deepEqual(spreadOver(hosts, 5).map(({ dataCentre }) => dataCentre).sort(), ['a', 'a', 'b', 'b', 'c'])
-  t.is(spreadOver(hosts, 9).length, hosts.length)
+  t.deepEqual(spreadOverDataCentres(hosts, 5).map(({ dataCentre }) => dataCentre).sort(), ['a', 'a', 'b', 'b', 'c'])
+  t.is(spreadOverDataCentres(hosts, 9).length, hosts.length)
 })
 
 test('should not put too many replicas into one data centre, unless there is only one', t => {
   const crowded = [member(1, 'a'), member(2, 'a'), member(3, 'a'), member(4, 'b'), member(5, 'b')]
-  t.false(hasPlace(placementFor(2), crowded.slice(0, 4).concat(member(6, 'a')), member(7, 'a')))
-  t.true(hasPlace(placementFor(2), crowded, member(7, 'b')))
+  t.false(shouldAdmit(placementFor(2), crowded.slice(0, 4).concat(member(6, 'a')), member(7, 'a')))
+  t.true(shouldAdmit(placementFor(2), crowded, member(7, 'b')))
   const alone = [member(1, 'a'), member(2, 'a')]
-  t.true(hasPlace(placementFor(1), alone, member(3, 'a')))
+  t.true(shouldAdmit(placementFor(1), alone, member(3, 'a')))
 })
 
 test('should demote neither the leader nor a voter that is needed', t => {
--- a/tests/batches/storeSnapshots.test.ts
+++ b/tests/batches/storeSnapshots.test.ts
@@ -76,7 +76,7 @@
   await cluster.until(() => hasCaughtUp(cluster, wiped), 'it holds everything')
   t.is(contentOf(wiped), contentOf(leader))
   t.true(contentOf(leader).length > STATE_BYTES)
-  for (const { disk, hostId } of cluster.hosts) t.true(disk.largestStepBytes < LARGEST_STEP_BYTES, `${hostId}: ${disk.largestStepBytes} bytes in one step`)
+  for (const { disk, hostId } of cluster.hosts) t.true(disk.largestTransferBytes < LARGEST_STEP_BYTES, `${hostId}: ${disk.largestTransferBytes} bytes in one step`)
   cluster.crash(wiped)
   await cluster.start(wiped)
   await cluster.until(() => hasCaughtUp(cluster, wiped), 'it has restored the received snapshot')
--- a/tests/control/configurationLease.test.ts
+++ b/tests/control/configurationLease.test.ts
@@ -35,7 +35,7 @@
     await shared.advance(10_000)
     clock.wake()
   }],
-  ['somebody set the time of day', async clock => clock.setTimeOfDay(10_000)]
+  ['somebody set the time of day', async clock => clock.shiftTimeOfDay(10_000)]
 ]
 
 for (const [what, end] of ended) {
--- a/tests/control/quarantineCalls.test.ts
+++ b/tests/control/quarantineCalls.test.ts
@@ -19,7 +19,7 @@
 
 function condemned (): RoutingState {
   const routing = new RoutingState()
-  for (const endpointId of ['e1', 'e2', 'e3']) routing.apply({ kind: RoutingCommandKind.NoteEnds, ends: [{ endpointId, digests: [DIGEST] }] }, { atMs: 1 })
+  for (const endpointId of ['e1', 'e2', 'e3']) routing.apply({ kind: RoutingCommandKind.RecordEnds, ends: [{ endpointId, digests: [DIGEST] }] }, { atMs: 1 })
   return routing
 }
 
--- a/tests/control/notedEnds.test.ts
+++ b/tests/control/quarantineState.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { NotedEnds } from '../../src/control/routing/notedEnds.js'
+import { QuarantineState } from '../../src/control/routing/quarantineState.js'
 import { QUARANTINE_MS, QuarantineVerdict } from '../../src/protocol/quarantine.js'
 
 function digest (letter: string): string {
@@ -9,13 +9,13 @@
 const CRASHING = digest('d')
 const HARMLESS = digest('1')
 
-function recordedState (...ends: Array<[string, ...string[]]>): NotedEnds {
-  const state = new NotedEnds()
+function recordedState (...ends: Array<[string, ...string[]]>): QuarantineState {
+  const state = new QuarantineState()
   ends.forEach(([endpointId, ...digests], position) => state.record([{ endpointId, digests }], position))
   return state
 }
 
-function verdicts (state: NotedEnds): Record<string, QuarantineVerdict> {
+function verdicts (state: QuarantineState): Record<string, QuarantineVerdict> {
   return Object.fromEntries(state.since(0).map(({ digest: known, verdict }) => [known, verdict]))
 }
 
@@ -78,7 +78,7 @@
 
 test('should restore the complete state from a snapshot', t => {
   const state = recordedState(['e1', CRASHING, HARMLESS], ['e2', CRASHING], ['e3', CRASHING])
-  const other = new NotedEnds()
+  const other = new QuarantineState()
   other.restore(structuredClone(state.snapshot()))
   t.deepEqual(other.snapshot(), state.snapshot())
   other.record([{ endpointId: 'e2', digests: [HARMLESS] }], 9)
--- a/tests/control/replicaReports.test.ts
+++ b/tests/control/replicaReports.test.ts
@@ -3,7 +3,7 @@
 import { EntryKind, type LogEntry } from '../../src/replication/log/logEntry.js'
 import { encodeMembership, MembershipHistory } from '../../src/replication/log/membershipHistory.js'
 import { setReplicaGauges } from '../../src/replication/log/replicaGauges.js'
-import { SnapshotFigures } from '../../src/replication/log/snapshotFigures.js'
+import { SnapshotStats } from '../../src/replication/log/snapshotStats.js'
 import { VoterWatch } from '../../src/replication/log/voterWatch.js'
 import { ReplicationEvent } from '../../src/replication/replicationEvents.js'
 import type { LogFields, Logger } from '../../src/utils/logger.js'
@@ -93,8 +93,8 @@
   t.deepEqual(more, [])
   await cluster.start(away)
   await reviewFor(4)
-  t.like(eventsOf(cluster, ReplicationEvent.VoterAnswers)[0], { hostId: away.hostId, answeringCount: 3 })
-  t.is(eventsOf(cluster, ReplicationEvent.VoterAnswers).length, 1)
+  t.like(eventsOf(cluster, ReplicationEvent.VoterRecovered)[0], { hostId: away.hostId, answeringCount: 3 })
+  t.is(eventsOf(cluster, ReplicationEvent.VoterRecovered).length, 1)
 })
 
 test('should report the size and duration of snapshots by source', async t => {
@@ -143,7 +143,7 @@
   await cluster.until(() => running.every(host => replicaOf(host).core.members.length === 3), 'the silent voter is removed everywhere')
   const remaining = [leader, ...running].map(({ hostId }) => hostId).sort()
   for (const { hostId } of [leader, ...running]) {
-    const logged = eventsOf(cluster, ReplicationEvent.MembersKnown, hostId).at(-1)
+    const logged = eventsOf(cluster, ReplicationEvent.MembersChanged, hostId).at(-1)
     t.deepEqual([...logged?.voters as string[]].sort(), remaining, hostId)
     t.like(logged, { learners: [], quorumCount: 2, isVoter: true }, hostId)
   }
@@ -156,8 +156,8 @@
   const entry = (index: number): LogEntry => (
     { index, term: 1, kind: EntryKind.Membership, atMs: 0, payload: encodeMembership({ clusterId: 'c', members: [] }) }
   )
-  history.note(entry(1))
-  history.note(entry(5))
+  history.record(entry(1))
+  history.record(entry(5))
   history.truncateFrom(9)
   history.truncateFrom(5)
   history.compactTo(3)
@@ -167,12 +167,12 @@
 
 test('should count the time of an arriving snapshot from its first piece', async t => {
   const clock = new VirtualClock()
-  const figures = new SnapshotFigures(clock)
-  figures.noteArriving(7)
+  const figures = new SnapshotStats(clock)
+  figures.recordChunkArrived(7)
   await clock.advance(300)
-  figures.noteArriving(7)
+  figures.recordChunkArrived(7)
   await clock.advance(200)
-  t.is(figures.noteInstalled(10), 500)
+  t.is(figures.recordInstalled(10), 500)
 })
 
 test('should log at the leader why a replica is not admitted', async t => {
@@ -194,9 +194,9 @@
   const logger: Logger = { event: (_number, fields = {}) => { logged.push(fields) }, child: () => logger }
   const refusals = new JoinRefusals(clock, logger)
   const newcomer = { replicaId: 'r1', hostId: 'h1', peerAddress: 'h1:1', operatorAddress: 'h1:1' }
-  const joinFor = async (seconds: number, outcome: Parameters<JoinRefusals['note']>[1]): Promise<void> => {
+  const joinFor = async (seconds: number, outcome: Parameters<JoinRefusals['record']>[1]): Promise<void> => {
     for (let asked = 0; asked < 4 * seconds; asked++) {
-      refusals.note(newcomer, outcome, 9)
+      refusals.record(newcomer, outcome, 9)
       await clock.advance(250)
     }
   }
--- a/tests/control/routingState.test.ts
+++ b/tests/control/routingState.test.ts
@@ -39,7 +39,7 @@
 
 test('should not restart a completed retirement', t => {
   const state = new RoutingState()
-  const begin: RoutingCommand = { kind: RoutingCommandKind.BeginRetirement, hostName: 'store-1', hostId: 'h1' }
+  const begin: RoutingCommand = { kind: RoutingCommandKind.StartRetirement, hostName: 'store-1', hostId: 'h1' }
   state.apply(begin, NOW)
   t.is(state.retirementOf('store-1')?.state, RetirementState.Serving)
   state.apply({ kind: RoutingCommandKind.EndRetirement, hostName: 'store-1' }, NOW)
@@ -51,7 +51,7 @@
   const state = new RoutingState()
   state.apply(replace(7, 'seven'), NOW)
   state.apply({ kind: RoutingCommandKind.NameWeights, model: 'm', version: 3 }, NOW)
-  state.apply({ kind: RoutingCommandKind.BeginRetirement, hostName: 'store-1', hostId: 'h1' }, NOW)
+  state.apply({ kind: RoutingCommandKind.StartRetirement, hostName: 'store-1', hostId: 'h1' }, NOW)
   const copy = new RoutingState()
   copy.restore(state.snapshot())
   t.deepEqual(copy.snapshot(), state.snapshot())
--- a/tests/control/suspendedHost.test.ts
+++ b/tests/control/suspendedHost.test.ts
@@ -69,7 +69,7 @@
   const { cluster, leader } = await start(t)
   const term = leader.running?.replica.core.term
   for (const byMs of [5_000, -5_000, 2_000]) {
-    for (const { clock } of cluster.hosts) clock.setTimeOfDay(byMs)
+    for (const { clock } of cluster.hosts) clock.shiftTimeOfDay(byMs)
     t.is(await name(cluster, leader, 4 + Math.abs(byMs)), 'committed')
     await cluster.clock.advance(SETTLE_MS)
   }
--- a/tests/duties/usageTally.test.ts
+++ b/tests/duties/usageTally.test.ts
@@ -46,16 +46,16 @@
 test('should add up hosts and their incarnations, and ignore duplicate reports', t => {
   const tally = new UsageTally()
   const report = { incarnation: 'first', settledBefore: 0, windows: [{ windowId: 0, counts: { a: 2, constructor: 1 } }] }
-  tally.learn('h1', report)
-  tally.learn('h1', report)
-  tally.learn('h1', { incarnation: 'second', settledBefore: 1, windows: [{ windowId: 0, counts: { a: 1 } }] })
-  tally.learn('h2', { incarnation: 'x', settledBefore: 1, windows: [{ windowId: 0, counts: { b: 4 } }] })
+  tally.addReport('h1', report)
+  tally.addReport('h1', report)
+  tally.addReport('h1', { incarnation: 'second', settledBefore: 1, windows: [{ windowId: 0, counts: { a: 1 } }] })
+  tally.addReport('h2', { incarnation: 'x', settledBefore: 1, windows: [{ windowId: 0, counts: { b: 4 } }] })
   t.deepEqual(tally.countsOf(0), { a: 3, constructor: 1, b: 4 })
   t.true(tally.isSettled(0, ['h1', 'h2']))
   t.false(tally.isSettled(1, ['h1']))
   t.false(tally.isSettled(0, ['h3']))
   tally.forgetBefore(1)
-  tally.learn('h1', report)
+  tally.addReport('h1', report)
   t.deepEqual(tally.countsOf(0), {})
 })
 
--- a/tests/endpoints/endpointHealth.test.ts
+++ b/tests/endpoints/endpointHealth.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { EndpointHealth, FailureReason } from '../../src/endpoints/endpointHealth.js'
-import { FailureAccount } from '../../src/endpoints/failureAccount.js'
-import { FIRST_EJECTION_MS, MAX_EJECTION_MS, PROBE_TIMEOUT_MS } from '../../src/endpoints/suspicion.js'
+import { FailureAttribution } from '../../src/endpoints/failureAttribution.js'
+import { FIRST_EJECTION_MS, MAX_EJECTION_MS, PROBE_TIMEOUT_MS } from '../../src/endpoints/circuitBreaker.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
 interface World {
@@ -47,16 +47,16 @@
   const all = world()
   await fail(all)
   await all.clock.advance(FIRST_EJECTION_MS)
-  t.true(all.health.isOpen)
-  t.true(all.health.isOnTrial)
+  t.true(all.health.isAvailable)
+  t.true(all.health.isHalfOpen)
   all.health.began()
-  t.false(all.health.isOpen)
+  t.false(all.health.isAvailable)
   await all.clock.advance(PROBE_TIMEOUT_MS)
-  t.true(all.health.isOpen, 'a probe without an outcome does not block others permanently')
+  t.true(all.health.isAvailable, 'a probe without an outcome does not block others permanently')
   all.health.began()
-  all.health.worked()
-  t.true(all.health.isOpen)
-  t.false(all.health.isOnTrial)
+  all.health.responded()
+  t.true(all.health.isAvailable)
+  t.false(all.health.isHalfOpen)
 })
 
 test('should be tried again after the shortest ejection when most endpoints of the service fail', async t => {
@@ -64,7 +64,7 @@
   for (let round = 0; round < 5; round++) {
     await fail(all)
     await all.clock.advance(FIRST_EJECTION_MS)
-    t.true(all.health.isOpen, `failure ${round + 1}`)
+    t.true(all.health.isAvailable, `failure ${round + 1}`)
   }
 })
 
@@ -83,7 +83,7 @@
   t.deepEqual(ejectionsMs, [], 'a request was accepted between them')
   await fails('c')
   t.deepEqual(ejectionsMs, [FIRST_EJECTION_MS])
-  health.worked()
+  health.responded()
   t.true(health.isSuspect, 'a reachable endpoint may still fail requests')
 })
 
@@ -97,16 +97,16 @@
   }
   health.accepted()
   health.accepted()
-  t.true(health.isOnTrial)
+  t.true(health.isHalfOpen)
   health.accepted()
-  t.false(health.isOnTrial)
+  t.false(health.isHalfOpen)
 })
 
 test('should not count an error of an endpoint when another one fails the same request', async t => {
   const first = world()
   const second = world()
   for (const subject of ['a', 'b', 'c']) {
-    const account = new FailureAccount(() => subject)
+    const account = new FailureAttribution(() => subject)
     for (const [endpointId, { clock, health }] of [['first', first], ['second', second]] as const) {
       const beganAtMs = clock.nowMs()
       await clock.advance(1)
--- a/tests/engineSupply/engineSupply.test.ts
+++ b/tests/engineSupply/engineSupply.test.ts
@@ -10,7 +10,7 @@
 import { seededRandom } from '../../src/utils/randomSource.js'
 import { Scope } from '../../src/utils/scope.js'
 import { engine } from '../fixtures/fleet/fleetFixtures.js'
-import { CheckedInfrastructure } from '../fixtures/infrastructureJudge.js'
+import { CheckedInfrastructure } from '../fixtures/checkedInfrastructure.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
 
 const LEASE_MS = 3_000
--- a/tests/entry/completions.test.ts
+++ b/tests/entry/completions.test.ts
@@ -201,7 +201,7 @@
     t.like(JSON.parse(unknown.text), { reason: 'unknown_pool', executed: 'no' })
     const deadline = await complete(host, {}, { 'x-deadline-ms': 'soon' })
     t.like(JSON.parse(deadline.text), { reason: 'malformed_request' })
-    host.control.leaseHeld = false
+    host.control.isLeaseHeld = false
     const lost = await complete(host)
     t.like(JSON.parse(lost.text), { reason: 'lease_lost', executed: 'no' })
   })
@@ -220,7 +220,7 @@
   await withEngines([slow], async (host, [engine]) => {
     const running = complete(host)
     await until(() => engine?.receivedCount === 1)
-    host.control.leaseHeld = false
+    host.control.isLeaseHeld = false
     release()
     t.like(JSON.parse((await running).text), { text: 'ab' })
   })
--- a/tests/entry/lifecycleFuzz.test.ts
+++ b/tests/entry/lifecycleFuzz.test.ts
@@ -132,7 +132,7 @@
 
 /** Sets the lease of the host, and makes the reply to the next command of the fault's kind get lost once. */
 function injectControlFault (host: TestHost, kind: InjectedControlFault): void {
-  host.control.leaseHeld = kind !== InjectedControlFault.NoLease
+  host.control.isLeaseHeld = kind !== InjectedControlFault.NoLease
   const lostKind = unconfirmedCommandOf[kind]
   const submit = Object.getPrototypeOf(host.control).submit as TestHost['control']['submit']
   let isLost = false
--- a/tests/entry/unrepeatable.test.ts
+++ b/tests/entry/unrepeatable.test.ts
@@ -189,9 +189,9 @@
     const key = { callerName: 'depot', idempotencyKey: 'k1' }
     const first = cluster.ledger.stateOf(key.callerName, key.idempotencyKey)
     t.deepEqual(first, { kind: 'absent', generation: 0 })
-    host.control.leaseHeld = false
+    host.control.isLeaseHeld = false
     isRefusal(t, await post(host, 'k1'), 'lease_lost', 'unknown')
-    host.control.leaseHeld = true
+    host.control.isLeaseHeld = true
     host.control.fault = ControlFault.Unreachable
     isRefusal(t, await post(host, 'k1'), 'control_unavailable', 'unknown')
     host.control.fault = ControlFault.None
--- a/tests/fleet/endpointDirectory.test.ts
+++ b/tests/fleet/endpointDirectory.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { EndpointDirectory } from '../../src/control/fleet/endpointDirectory.js'
-import { EndpointNews } from '../../src/control/fleet/endpointNews.js'
-import { NotedLeaves } from '../../src/control/routing/notedLeaves.js'
+import { EndpointUpdateKind } from '../../src/control/fleet/endpointUpdateKind.js'
+import { RecordedLeaves } from '../../src/control/routing/recordedLeaves.js'
 import { EndpointLifecycle } from '../../src/protocol/fleet.js'
 import { endpoint, incarnation } from '../fixtures/fleet/fleetFixtures.js'
 import { VirtualClock } from '../fixtures/virtualClock.js'
@@ -10,7 +10,7 @@
 
 function directory () {
   const clock = new VirtualClock()
-  const leaves = new NotedLeaves()
+  const leaves = new RecordedLeaves()
   return { clock, known: new EndpointDirectory(clock, HEARTBEAT_MS, leaves), leaves }
 }
 
@@ -36,7 +36,7 @@
 test('should not bring an endpoint back that has left', t => {
   const { known } = directory()
   known.heartbeat(endpoint('e1', { sequence: 1 }))
-  t.is(known.leave('e1')?.lifecycle, EndpointLifecycle.Gone)
+  t.is(known.leave('e1')?.lifecycle, EndpointLifecycle.Removed)
   t.is(known.heartbeat(endpoint('e1', { sequence: 2 })).kind, 'outdated')
 })
 
@@ -61,7 +61,7 @@
   const { known } = directory()
   known.heartbeat(incarnation('e1', 1_000, { sequence: 40 }))
   const outcome = known.heartbeat(incarnation('e1', 2_000, { sequence: 1 }))
-  t.like(outcome, { kind: 'changed', news: EndpointNews.Endpoint, endpoint: { endpointId: 'e1@2000', sequence: 1 } })
+  t.like(outcome, { kind: 'changed', news: EndpointUpdateKind.Endpoint, endpoint: { endpointId: 'e1@2000', sequence: 1 } })
   t.is(outcome.kind === 'changed' ? outcome.replaced?.endpointId : undefined, 'e1@1000')
   t.deepEqual(known.all().map(({ endpointId }) => endpointId), ['e1@2000'])
 })
--- a/tests/fleet/endpointLeaves.test.ts
+++ b/tests/fleet/endpointLeaves.test.ts
@@ -1,31 +1,31 @@
 import test from 'ava'
-import { NotedLeaves } from '../../src/control/routing/notedLeaves.js'
+import { RecordedLeaves } from '../../src/control/routing/recordedLeaves.js'
 import { RoutingState } from '../../src/control/routing/routingState.js'
 import { EndpointLifecycle, KnownLeaves } from '../../src/protocol/endpointLeaves.js'
 import { RoutingCommandKind } from '../../src/protocol/routingCommands.js'
 
 const NOW = { atMs: 0 }
 
-const { Ready, Leaving, Gone } = EndpointLifecycle
+const { Ready, Leaving, Removed: Gone } = EndpointLifecycle
 
 test('should record a leave once, however often and wherever it is repeated', t => {
-  const leaves = new NotedLeaves()
-  const first = leaves.note({ name: 'e1', bornAtMs: 0, lifecycle: Leaving })
-  t.deepEqual(leaves.note({ name: 'e1', bornAtMs: 0, lifecycle: Leaving }), first)
-  t.is(leaves.note({ name: 'e1', bornAtMs: 0, lifecycle: Gone }).number, 2)
-  t.is(leaves.note({ name: 'e1', bornAtMs: 0, lifecycle: Leaving }).number, 2)
-  t.is(leaves.note({ name: 'e2', bornAtMs: 0, lifecycle: Leaving }).number, 3)
+  const leaves = new RecordedLeaves()
+  const first = leaves.record({ name: 'e1', bornAtMs: 0, lifecycle: Leaving })
+  t.deepEqual(leaves.record({ name: 'e1', bornAtMs: 0, lifecycle: Leaving }), first)
+  t.is(leaves.record({ name: 'e1', bornAtMs: 0, lifecycle: Gone }).number, 2)
+  t.is(leaves.record({ name: 'e1', bornAtMs: 0, lifecycle: Leaving }).number, 2)
+  t.is(leaves.record({ name: 'e2', bornAtMs: 0, lifecycle: Leaving }).number, 3)
 })
 
 test('should record every leave without an incarnation, as it may belong to a later one', t => {
-  const leaves = new NotedLeaves()
-  leaves.note({ name: 'e1', lifecycle: Gone })
-  t.is(leaves.note({ name: 'e1', lifecycle: Gone }).number, 2)
+  const leaves = new RecordedLeaves()
+  leaves.record({ name: 'e1', lifecycle: Gone })
+  t.is(leaves.record({ name: 'e1', lifecycle: Gone }).number, 2)
 })
 
 test('should return the leaves recorded since a number, in order, and keep the latest', t => {
-  const leaves = new NotedLeaves()
-  for (let number = 1; number <= 1_100; number++) leaves.note({ name: `e${number}`, bornAtMs: 0, lifecycle: Gone })
+  const leaves = new RecordedLeaves()
+  for (let number = 1; number <= 1_100; number++) leaves.record({ name: `e${number}`, bornAtMs: 0, lifecycle: Gone })
   t.deepEqual(leaves.since(1_098).map(({ number }) => number), [1_099, 1_100])
   t.deepEqual(leaves.since(1_100), [])
   t.is(leaves.since(0).length, 1_024)
@@ -34,7 +34,7 @@
 
 test('should store leaves in snapshots, and read snapshots without any', t => {
   const state = new RoutingState()
-  state.apply({ kind: RoutingCommandKind.NoteLeave, leave: { name: 'e1', bornAtMs: 5, lifecycle: Gone } }, NOW)
+  state.apply({ kind: RoutingCommandKind.RecordLeave, leave: { name: 'e1', bornAtMs: 5, lifecycle: Gone } }, NOW)
   const other = new RoutingState()
   other.restore(state.snapshot())
   t.deepEqual(other.leaves.all(), [{ name: 'e1', bornAtMs: 5, lifecycle: Gone, number: 1 }])
@@ -44,18 +44,18 @@
 
 test('should end the incarnation that left and those before it, but none that came after', t => {
   const known = new KnownLeaves()
-  known.note({ number: 4, name: 'e1', bornAtMs: 2_000, lifecycle: Leaving }, undefined)
+  known.record({ number: 4, name: 'e1', bornAtMs: 2_000, lifecycle: Leaving }, undefined)
   t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 1_000 }), Gone)
   t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 2_000 }), Leaving)
   t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 3_000 }), Ready)
-  known.note({ number: 5, name: 'e1', bornAtMs: 1_000, lifecycle: Gone }, undefined)
+  known.record({ number: 5, name: 'e1', bornAtMs: 1_000, lifecycle: Gone }, undefined)
   t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 2_000 }), Leaving, 'the leave of an earlier incarnation arrives late')
 })
 
 test('should end the known incarnation by a leave without an incarnation, once', t => {
   const known = new KnownLeaves()
-  known.note({ number: 4, name: 'e1', lifecycle: Gone }, 1_000)
-  known.note({ number: 4, name: 'e1', lifecycle: Gone }, 2_000)
+  known.record({ number: 4, name: 'e1', lifecycle: Gone }, 1_000)
+  known.record({ number: 4, name: 'e1', lifecycle: Gone }, 2_000)
   t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 1_000 }), Gone)
   t.is(known.lifecycleOf({ name: 'e1', bornAtMs: 2_000 }), Ready, 'sent again by another control host after the endpoint came back')
 })
--- a/tests/fleet/fleetTime.test.ts
+++ b/tests/fleet/fleetTime.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { HeardClocks } from '../../src/control/fleet/heardClocks.js'
+import { HostClocks } from '../../src/control/fleet/hostClocks.js'
 import { UsageCounter } from '../../src/duties/usageCounter.js'
 import { UsageTally } from '../../src/duties/usageTally.js'
 import { FleetTime } from '../../src/fleet/fleetTime.js'
@@ -33,14 +33,14 @@
 
 interface ControlHost {
   clock: HostClock
-  heard: HeardClocks
+  heard: HostClocks
   tally: UsageTally
 }
 
 /** Its time of day is correct at first. */
 function controlHost (clock: HostClock): ControlHost {
-  clock.setTimeOfDay(-clock.wallMs())
-  return { clock, heard: new HeardClocks(clock), tally: new UsageTally() }
+  clock.shiftTimeOfDay(-clock.wallMs())
+  return { clock, heard: new HostClocks(clock), tally: new UsageTally() }
 }
 
 interface CountingHost {
@@ -56,8 +56,8 @@
 /** Calls each control host once and processes the answers. */
 function followOnce ({ id, own, time, counter }: CountingHost, controls: ControlHost[]): void {
   for (const [position, { heard, tally }] of controls.entries()) {
-    heard.learn(id, own.wallMs() - ONE_WAY_MS)
-    tally.learn(id, counter.reportSince(0).report)
+    heard.record(id, own.wallMs() - ONE_WAY_MS)
+    tally.addReport(id, counter.reportSince(0).report)
     time.addSample(String(position), { fleetWallMs: heard.wallMs() - ONE_WAY_MS, calledAtMs: own.nowMs() - 2 * ONE_WAY_MS, answeredAtMs: own.nowMs() })
   }
 }
@@ -105,7 +105,7 @@
 
   private _host (id: string): CountingHost {
     const own = new HostClock(this._clock, this._random.int(0, 50_000))
-    own.setTimeOfDay(-own.wallMs() + this._random.int(-20, 20))
+    own.shiftTimeOfDay(-own.wallMs() + this._random.int(-20, 20))
     const time = new FleetTime(own)
     const wallAt = (nowMs: number): number => (this._options.usesOwnClock === true ? nowMs - own.nowMs() + own.wallMs() : time.wallAt(nowMs))
     const counter = new UsageCounter({ clock: own, windowMs: WINDOW_MS, wallAt, incarnation: 'x' })
@@ -114,7 +114,7 @@
 
   private _disturb (): void {
     const clocks = [...this._hosts.map(({ own }) => own), ...this._controls.map(({ clock }) => clock)]
-    for (const clock of clocks.filter(() => this._random.real() < this._options.steppedShare)) clock.setTimeOfDay(2_000)
+    for (const clock of clocks.filter(() => this._random.real() < this._options.steppedShare)) clock.shiftTimeOfDay(2_000)
     for (const host of this._hosts.slice(0, this._options.killedCount)) host.isAlive = false
   }
 
--- a/tests/fleet/followerSessions.test.ts
+++ b/tests/fleet/followerSessions.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava'
 import type { ControlNode } from '../../src/control/controlNode.js'
 import { EndpointDirectory } from '../../src/control/fleet/endpointDirectory.js'
-import { EndpointNews } from '../../src/control/fleet/endpointNews.js'
-import { NotedEnds } from '../../src/control/routing/notedEnds.js'
-import { NotedLeaves } from '../../src/control/routing/notedLeaves.js'
+import { EndpointUpdateKind } from '../../src/control/fleet/endpointUpdateKind.js'
+import { QuarantineState } from '../../src/control/routing/quarantineState.js'
+import { RecordedLeaves } from '../../src/control/routing/recordedLeaves.js'
 import { FollowerSessions } from '../../src/control/fleet/followerSessions.js'
 import { FleetFollower } from '../../src/fleet/fleetFollower.js'
 import { FleetView } from '../../src/fleet/fleetView.js'
@@ -34,8 +34,8 @@
 /** One control host and any number of followers, over an in-memory network that counts messages. */
 class World {
   readonly clock = new VirtualClock()
-  readonly leaves = new NotedLeaves()
-  readonly ends = new NotedEnds()
+  readonly leaves = new RecordedLeaves()
+  readonly ends = new QuarantineState()
   readonly directory = new EndpointDirectory(this.clock, HEARTBEAT_MS, this.leaves)
   readonly network = new MemoryNetwork(this.clock, () => this._count())
   readonly scope = new Scope('world')
@@ -192,8 +192,8 @@
   const store = world.follow(1, HostRole.Store)
   const entry = world.follow(2, HostRole.Entry)
   await world.clock.advance(SETTLE_MS)
-  world.sessions.announce(engine('e1', 4), EndpointNews.Endpoint)
-  world.sessions.announce(engine('e1', 5, { sequence: 2 }), EndpointNews.Weights)
+  world.sessions.announce(engine('e1', 4), EndpointUpdateKind.Endpoint)
+  world.sessions.announce(engine('e1', 5, { sequence: 2 }), EndpointUpdateKind.Weights)
   await world.clock.advance(10)
   t.is(store.endpoint('e1')?.weights[0]?.version, 5)
   t.is(entry.endpoint('e1')?.weights[0]?.version, 4)
@@ -207,7 +207,7 @@
   const announce = (endpoint: ReturnType<typeof incarnation>): void => {
     const outcome = world.directory.heartbeat(endpoint)
     if (outcome.kind !== 'changed') return
-    if (outcome.replaced) world.sessions.announce(outcome.replaced, EndpointNews.Endpoint)
+    if (outcome.replaced) world.sessions.announce(outcome.replaced, EndpointUpdateKind.Endpoint)
     world.sessions.announce(outcome.endpoint, outcome.news)
   }
   announce(incarnation('e1', 1_000, { sequence: 20 }))
--- a/tests/fleet/hostChanges.test.ts
+++ b/tests/fleet/hostChanges.test.ts
@@ -13,7 +13,7 @@
 }
 
 function updateFor (changes: HostChanges, follower: HostRole): FleetUpdate {
-  return changes.take().find(sent => sent.follower === follower)?.update ?? {}
+  return changes.takePending().find(sent => sent.follower === follower)?.update ?? {}
 }
 
 test('should send each host once when a whole fleet starts at the same time', t => {
@@ -24,15 +24,15 @@
     if (number % 10 === 9) sentCount += updateFor(changes, HostRole.Entry).changedHosts?.length ?? 0
   }
   t.is(sentCount, FLEET_SIZE)
-  t.deepEqual(changes.take(), [])
+  t.deepEqual(changes.takePending(), [])
 })
 
 test('should send only store hosts to store hosts, and all hosts to entry hosts', t => {
   const changes = new HostChanges()
   changes.set(host(1))
   changes.set(host(2, HostRole.Store))
-  t.deepEqual(changes.wholeFor(HostRole.Store).hosts?.map(({ hostId }) => hostId), ['h2'])
-  const sentIds = new Map(changes.take().map(({ follower, update }) => [follower, update.changedHosts?.map(({ hostId }) => hostId)]))
+  t.deepEqual(changes.fullListFor(HostRole.Store).hosts?.map(({ hostId }) => hostId), ['h2'])
+  const sentIds = new Map(changes.takePending().map(({ follower, update }) => [follower, update.changedHosts?.map(({ hostId }) => hostId)]))
   t.deepEqual(sentIds.get(HostRole.Entry), ['h1', 'h2'])
   t.deepEqual(sentIds.get(HostRole.Store), ['h2'])
 })
@@ -58,7 +58,7 @@
       else changes.set(host(number, HostRole.Entry, random.real() < 0.5))
       if (random.real() < 0.05) {
         const view = new FleetView(silentLogger)
-        view.merge(CONTROL, changes.wholeFor(HostRole.Entry))
+        view.merge(CONTROL, changes.fullListFor(HostRole.Entry))
         views.push(view)
       }
       if (random.real() < 0.2) {
--- a/tests/fleet/quarantineBounds.test.ts
+++ b/tests/fleet/quarantineBounds.test.ts
@@ -29,7 +29,7 @@
   // One endpoint stays, so that the lost requests are answered there.
   for (const address of world.endpoints.addresses.slice(1)) world.endpoints.end(address)
   await world.clock.advance(4_000)
-  const entries = cluster.applied.slice(before).filter(entry => entry && Buffer.from(entry.payload).includes(RoutingCommandKind.NoteEnds))
+  const entries = cluster.applied.slice(before).filter(entry => entry && Buffer.from(entry.payload).includes(RoutingCommandKind.RecordEnds))
   t.true(world.endpoints.ends.flatMap(({ paths }) => paths).length > 40, 'many requests were lost')
   t.true(entries.length <= 2 * world.hosts.length, `${entries.length} entries`)
   t.deepEqual(world.hosts.flatMap(({ following }) => following.view.quarantine.condemnedDigests()), [])
--- a/tests/fleet/routingDelivery.test.ts
+++ b/tests/fleet/routingDelivery.test.ts
@@ -18,10 +18,10 @@
 
 test('should send a configuration to a new connection at once, and to one that lacks it two calls later', t => {
   const delivery = new RoutingDelivery()
-  t.true(delivery.takeCall(1, 2), 'the first call of a connection')
-  t.false(delivery.takeCall(2, 3), 'it has just changed')
-  t.false(delivery.takeCall(2, 3), 'it may still be on its way')
-  t.true(delivery.takeCall(2, 3))
-  t.false(delivery.takePush(3), 'the reply has brought it')
-  t.true(delivery.takePush(4))
+  t.true(delivery.recordCall(1, 2), 'the first call of a connection')
+  t.false(delivery.recordCall(2, 3), 'it has just changed')
+  t.false(delivery.recordCall(2, 3), 'it may still be on its way')
+  t.true(delivery.recordCall(2, 3))
+  t.false(delivery.recordPush(3), 'the reply has brought it')
+  t.true(delivery.recordPush(4))
 })
--- a/tests/gateway/waitingTurns.test.ts
+++ b/tests/gateway/fairWaitQueue.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { FairWaitQueue, type QueueEntry } from '../../src/gateway/waitingTurns.js'
+import { FairWaitQueue, type QueueEntry } from '../../src/gateway/fairWaitQueue.js'
 
 const SERVICE = 'decks'
 
--- a/tests/platform/callerKeys.test.ts
+++ b/tests/platform/callerKeys.test.ts
@@ -21,7 +21,7 @@
 import { DATA_CENTRE, HOST, route, routing } from '../fixtures/fleet/fleetFixtures.js'
 import { quarantineOf } from '../fixtures/fleet/quarantineFixtures.js'
 import { freePort, loopbackHost } from '../fixtures/loopback.js'
-import { rawEndpoint, wholeAnswer } from '../fixtures/rawEndpoint.js'
+import { startRawEndpoint, completeResponse } from '../fixtures/rawEndpoint.js'
 
 const KEY = 'secret-of-learners'
 
@@ -42,7 +42,7 @@
   const onFatal = (error: unknown): void => { throw error }
   const events: CallerFixture['events'] = []
   const logger: Logger = { event: (number, fields = {}) => events.push({ number, fields }), child: () => logger }
-  const raw = await rawEndpoint(({ socket, attemptId }) => { socket.write(wholeAnswer(attemptId)) })
+  const raw = await startRawEndpoint(({ socket, attemptId }) => { socket.write(completeResponse(attemptId)) })
   t.teardown(() => raw.close())
   const view = new FleetView(silentLogger)
   view.merge('control-1', { endpoints: [raw.endpoint] })
@@ -51,7 +51,7 @@
   const pool = new EndpointPool({ view, clock: systemClock, random, dataCentre: DATA_CENTRE, logger: silentLogger, metrics })
   const forwarderContext = { view, pool, client, quarantine: quarantineOf(view, systemClock, client), random, logger, metrics }
   const batches = new BatchRoutes({ client: new BatchClient(view, DATA_CENTRE, new TcpTransport(), scope, onFatal), clock: systemClock, logger, metrics })
-  const admission = new CallerAdmission({ policy: { isRevocationStrict: false, revokeMs: 5_000 }, outOfTouchMs: () => outOfTouchMs })
+  const admission = new CallerAdmission({ policy: { isRevocationStrict: false, revokeMs: 5_000 }, disconnectedMs: () => outOfTouchMs })
   const usage = new UsageCounter({ clock: systemClock, windowMs: 1e12, wallAt: nowMs => nowMs, incarnation: 'x' })
   const address = `${loopbackHost()}:${await freePort()}`
   const server = new CallerServer({
--- a/tests/platform/callerServer.test.ts
+++ b/tests/platform/callerServer.test.ts
@@ -21,7 +21,7 @@
 import { quarantineOf } from '../fixtures/fleet/quarantineFixtures.js'
 import { DATA_CENTRE, HOST, route, routing } from '../fixtures/fleet/fleetFixtures.js'
 import { freePort, loopbackHost } from '../fixtures/loopback.js'
-import { rawEndpoint, type RawRequest } from '../fixtures/rawEndpoint.js'
+import { startRawEndpoint, type RawRequest } from '../fixtures/rawEndpoint.js'
 
 interface CallerFixture {
   url: string
@@ -43,7 +43,7 @@
   const pool = new EndpointPool({ view, clock: systemClock, random, dataCentre: DATA_CENTRE, logger: silentLogger, metrics: memoryMetrics() })
   const forwarderContext = { view, pool, client, quarantine: quarantineOf(view, systemClock, client), random, logger, metrics }
   const batches = new BatchRoutes({ client: new BatchClient(view, DATA_CENTRE, new TcpTransport(), scope, onFatal), clock: systemClock, logger, metrics })
-  const admission = new CallerAdmission({ policy: { isRevocationStrict: false, revokeMs: 5_000 }, outOfTouchMs: () => 0 })
+  const admission = new CallerAdmission({ policy: { isRevocationStrict: false, revokeMs: 5_000 }, disconnectedMs: () => 0 })
   const address = `${loopbackHost()}:${await freePort()}`
   const server = new CallerServer({
     address, scope, clock: systemClock, logger, metrics, view, batches, admission, onFatal, forwarder: new RequestForwarder(forwarderContext), streams: new StreamForwarder(forwarderContext)
@@ -54,7 +54,7 @@
 
 async function serveStream (t: ExecutionContext, answer: (request: RawRequest) => void): Promise<CallerFixture> {
   const served = await serve(t)
-  const raw = await rawEndpoint(answer)
+  const raw = await startRawEndpoint(answer)
   t.teardown(() => raw.close())
   const routes = [route({ kind: RouteKind.Stream, timeoutMs: 20_000, services: [{ service: raw.endpoint.service, weight: 1 }] })]
   served.view.merge('control-1', { routing: routing(1, routes), endpoints: [raw.endpoint] })
--- a/tests/platform/codecs.test.ts
+++ b/tests/platform/codecs.test.ts
@@ -159,7 +159,7 @@
     nextPosition: 2,
     results: [
       { itemId: 'i1', state: ResultState.Completed, parts, versions: [1, 2], score: 's' },
-      { itemId: 'i2', state: ResultState.GivenUp, parts: [], versions: [] }
+      { itemId: 'i2', state: ResultState.Abandoned, parts: [], versions: [] }
     ]
   })
   t.deepEqual(page, {
--- a/tests/platform/controlServer.test.ts
+++ b/tests/platform/controlServer.test.ts
@@ -6,7 +6,7 @@
 import type { ControlProgram } from '../../src/control/controlProgram.js'
 import { EndpointAnnouncements } from '../../src/control/fleet/endpointAnnouncements.js'
 import { EndpointDirectory } from '../../src/control/fleet/endpointDirectory.js'
-import { NotedLeaves } from '../../src/control/routing/notedLeaves.js'
+import { RecordedLeaves } from '../../src/control/routing/recordedLeaves.js'
 import type { SubmitReply } from '../../src/protocol/controlMessages.js'
 import { RoutingCommandKind, type RoutingCommand } from '../../src/protocol/routingCommands.js'
 import { EndpointLifecycle, type FleetEndpoint } from '../../src/protocol/fleet.js'
@@ -33,7 +33,7 @@
   t.teardown(() => scope.close('test over'))
   const events: ControlFixture['events'] = []
   const logger: Logger = { event: (number, fields = {}) => events.push({ number, fields }), child: () => logger }
-  const leaves = new NotedLeaves()
+  const leaves = new RecordedLeaves()
   const directory = new EndpointDirectory(systemClock, HEARTBEAT_MS, leaves)
   const sentEndpoints: FleetEndpoint[] = []
   const followers = { announce: (endpoint: FleetEndpoint) => { sentEndpoints.push(endpoint) }, tellLeave: async () => ({ followersCount: 0, knowingCount: 0 }) }
@@ -54,9 +54,9 @@
 }
 
 /** Replaces the replicated log: records leaves at once. */
-async function recordLeave (leaves: NotedLeaves, command: RoutingCommand): Promise<SubmitReply> {
-  if (command.kind !== RoutingCommandKind.NoteLeave) throw new Error(`unexpected command ${command.kind}`)
-  return { kind: 'committed', result: { kind: 'leaveNoted', leave: leaves.note(command.leave) } }
+async function recordLeave (leaves: RecordedLeaves, command: RoutingCommand): Promise<SubmitReply> {
+  if (command.kind !== RoutingCommandKind.RecordLeave) throw new Error(`unexpected command ${command.kind}`)
+  return { kind: 'committed', result: { kind: 'leaveNoted', leave: leaves.record(command.leave) } }
 }
 
 function idsOf ({ directory }: ControlFixture): string[] {
@@ -69,7 +69,7 @@
   t.is(await served.announce('i-1', { ...heartbeat, born: heartbeat.born + 5_000, seq: 1 }), 200)
   t.deepEqual(served.sentEndpoints.map(({ bornAtMs, lifecycle }) => [bornAtMs, lifecycle]), [
     [heartbeat.born, EndpointLifecycle.Ready],
-    [heartbeat.born, EndpointLifecycle.Gone],
+    [heartbeat.born, EndpointLifecycle.Removed],
     [heartbeat.born + 5_000, EndpointLifecycle.Ready]
   ])
 })
@@ -80,7 +80,7 @@
   t.is(await served.send('/v1/instances/i-1/deregister', JSON.stringify({ born: heartbeat.born - 1 })), 200)
   t.is(served.directory.all()[0]?.lifecycle, EndpointLifecycle.Ready)
   t.is(await served.send('/v1/instances/i-1/deregister'), 200)
-  t.is(served.directory.all()[0]?.lifecycle, EndpointLifecycle.Gone)
+  t.is(served.directory.all()[0]?.lifecycle, EndpointLifecycle.Removed)
 })
 
 const malformed: Array<[string, Record<string, unknown>]> = [
--- a/tests/platform/endpointClient.test.ts
+++ b/tests/platform/endpointClient.test.ts
@@ -6,7 +6,7 @@
 import { Scope } from '../../src/utils/scope.js'
 import { endpoint } from '../fixtures/fleet/fleetFixtures.js'
 import { until } from '../fixtures/until.js'
-import { rawEndpoint, wholeAnswer, type RawEndpoint, type RawRequest } from '../fixtures/rawEndpoint.js'
+import { startRawEndpoint, completeResponse, type RawEndpoint, type RawRequest } from '../fixtures/rawEndpoint.js'
 
 const WAIT_MS = 20_000
 
@@ -40,7 +40,7 @@
 }
 
 async function withEndpoint<T> (answer: (request: RawRequest, number: number) => void, use: (raw: RawEndpoint) => Promise<T>): Promise<T> {
-  const raw = await rawEndpoint(answer)
+  const raw = await startRawEndpoint(answer)
   try {
     return await use(raw)
   } finally {
@@ -49,7 +49,7 @@
 }
 
 test('should forward method, path, body and end-to-end headers unchanged, and no hop-by-hop headers', async t => {
-  await withEndpoint(({ socket, attemptId }) => { socket.write(wholeAnswer(attemptId)) }, async raw => {
+  await withEndpoint(({ socket, attemptId }) => { socket.write(completeResponse(attemptId)) }, async raw => {
     const outcome = await call(raw.endpoint)
     t.like(outcome, { kind: 'answered', status: 200, receipt: 'stamp' })
     const [text = ''] = raw.requests
@@ -65,7 +65,7 @@
 })
 
 test('should accept no answer to another request, and close its connection', async t => {
-  await withEndpoint(({ socket, attemptId }, number) => { socket.write(wholeAnswer(number === 1 ? 'foreign' : attemptId)) }, async raw => {
+  await withEndpoint(({ socket, attemptId }, number) => { socket.write(completeResponse(number === 1 ? 'foreign' : attemptId)) }, async raw => {
     t.is((await call(raw.endpoint, 'a1')).kind, 'broken')
     t.is((await call(raw.endpoint, 'a2')).kind, 'answered')
     t.is(raw.connectionsCount(), 2)
@@ -74,7 +74,7 @@
 
 test('should not give a surplus answer to the next request on the connection', async t => {
   await withEndpoint(({ socket, attemptId }, number) => {
-    socket.write(number === 1 ? wholeAnswer(attemptId, 'first') + wholeAnswer(attemptId, 'surplus') : wholeAnswer(attemptId, 'second'))
+    socket.write(number === 1 ? completeResponse(attemptId, 'first') + completeResponse(attemptId, 'surplus') : completeResponse(attemptId, 'second'))
   }, async raw => {
     await call(raw.endpoint, 'a1')
     const outcome = await call(raw.endpoint, 'a2')
@@ -84,11 +84,11 @@
 
 test('should report an answer as broken that is truncated, is not HTTP, or lacks a receipt', async t => {
   const answers = [
-    (attemptId: string) => wholeAnswer(attemptId).slice(0, -2),
+    (attemptId: string) => completeResponse(attemptId).slice(0, -2),
     () => 'neither head nor tail\r\n\r\n',
     (attemptId: string) => `HTTP/1.1 200 OK\r\nX-Threaddrum-Attempt-Id: ${attemptId}\r\nContent-Length: 2\r\n\r\nok`,
-    (attemptId: string) => wholeAnswer(attemptId, 'zip', 'Content-Encoding: gzip\r\n'),
-    () => wholeAnswer('').replace(/X-Threaddrum-Attempt-Id: \r\n/, '')
+    (attemptId: string) => completeResponse(attemptId, 'zip', 'Content-Encoding: gzip\r\n'),
+    () => completeResponse('').replace(/X-Threaddrum-Attempt-Id: \r\n/, '')
   ]
   for (const [position, answer] of answers.entries()) {
     await withEndpoint(({ socket, attemptId }) => { socket.end(answer(attemptId)) }, async raw => {
@@ -114,7 +114,7 @@
 })
 
 test('should report that nothing ran when connecting fails', async t => {
-  const raw = await rawEndpoint(() => {})
+  const raw = await startRawEndpoint(() => {})
   raw.close()
   t.is((await call(endpoint('e2', { address: raw.endpoint.address }))).kind, 'unreached')
 })
@@ -200,7 +200,7 @@
 
 test('should abort a stream that its listener rejects, and report a refusal as such', async t => {
   await withEndpoint(({ socket, attemptId }, number) => {
-    if (number === 1) socket.write(wholeAnswer(attemptId))
+    if (number === 1) socket.write(completeResponse(attemptId))
     else socket.write('HTTP/1.1 503 Busy\r\nx-threaddrum-not-executed: 1\r\ncontent-length: 0\r\n\r\n')
   }, async raw => {
     const listener = { onHead: () => {}, onData: async () => 'not the next event' }
--- a/tests/platform/hostPrograms.test.ts
+++ b/tests/platform/hostPrograms.test.ts
@@ -75,8 +75,8 @@
   test(`should compare the memory of ${name} with the limit of its host`, async t => {
     const program = await start(name, TINY_LIMIT_MB)
     t.teardown(() => stop(program))
-    await until(() => linesOf(program, MemoryEvent.LevelPassed).length === LEVELS_COUNT)
-    t.is(linesOf(program, MemoryEvent.LevelPassed)[0]?.context.limitBytes, 1024 * 1024)
+    await until(() => linesOf(program, MemoryEvent.LevelReached).length === LEVELS_COUNT)
+    t.is(linesOf(program, MemoryEvent.LevelReached)[0]?.context.limitBytes, 1024 * 1024)
     await until(async () => (await readGauge(program, 'memory_resident_bytes') ?? 0) > 1024 * 1024)
   })
 }
@@ -88,7 +88,7 @@
     await until(() => linesOf(program, ReplicationEvent.Loaded).length === 1)
     t.true(Number(linesOf(program, ReplicationEvent.Loaded)[0]?.context.readMs) > 0)
     await assertGauges(t, program, ['log_applied_index', 'log_held_bytes', 'members_voters', 'members_largest_lag_entries'])
-    t.deepEqual(linesOf(program, MemoryEvent.LevelPassed), [])
+    t.deepEqual(linesOf(program, MemoryEvent.LevelReached), [])
   })
 }
 
--- a/tests/processes/crashes.test.ts
+++ b/tests/processes/crashes.test.ts
@@ -31,19 +31,19 @@
   system.local.startTrainer(TRAINER)
   await waitForFinishedSamples(system)
   await system.entries[0]!.stop('SIGKILL')
-  await system.expectTrainedWell(t, STEPS_COUNT * SAMPLES_PER_STEP)
+  await system.expectCorrectTraining(t, STEPS_COUNT * SAMPLES_PER_STEP)
 })
 
 test('should finish streams and samples on another engine when one is killed', async t => {
   const system = await ProcessSystem.start(t, { engine: { meanTokensCount: 400 } })
   system.local.startTrainer(TRAINER)
   const streams = system.local.entryAddresses.map(host => system.openStream(host, `through ${host}`, STREAM_TOKENS))
-  await Promise.all(streams.map(async ({ begun }) => await begun))
+  await Promise.all(streams.map(async ({ started: begun }) => await begun))
   await waitForFinishedSamples(system)
   await system.engines[0]!.stop('SIGKILL')
   for (const { read } of streams) t.like(await read, { isWhole: true, misplacedCount: 0 })
   system.startEngine(0, { meanTokensCount: 400 })
-  await system.expectTrainedWell(t, STEPS_COUNT * SAMPLES_PER_STEP)
+  await system.expectCorrectTraining(t, STEPS_COUNT * SAMPLES_PER_STEP)
 })
 
 test('should deliver every sample once when the leader of the control hosts is killed in the middle of a step', async t => {
@@ -51,5 +51,5 @@
   system.local.startTrainer(TRAINER)
   await waitForFinishedSamples(system)
   await system.controls[await system.leaderIndex()]!.stop('SIGKILL')
-  await system.expectTrainedWell(t, STEPS_COUNT * SAMPLES_PER_STEP)
+  await system.expectCorrectTraining(t, STEPS_COUNT * SAMPLES_PER_STEP)
 })
--- a/tests/processes/drain.test.ts
+++ b/tests/processes/drain.test.ts
@@ -21,13 +21,13 @@
     return requestsAtDrained() > 0
   })
   t.regex(await system.command(['drain', '--endpoint', 'engine-1']), /endpoint engine-1 at entry-\d: draining/)
-  await system.waitUntilLeft('engine-1')
+  await system.waitUntilLeaving('engine-1')
   const before = requestsAtDrained()
   for (let round = 0; round < ROUNDS_COUNT; round++) await sendRound(system)
   t.is(requestsAtDrained(), before)
 
   const stream = system.openStream(system.local.entryAddresses[2]!, 'Kaart', 100)
-  await stream.begun
+  await stream.started
   await system.command(['drain', 'entry-3'])
   t.true((await stream.read).isWhole)
   t.like(await system.entries[2]!.ended, { code: 0 })
--- a/tests/quarantine/requestQuarantine.test.ts
+++ b/tests/quarantine/requestQuarantine.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { RequestQuarantine, RequestStanding } from '../../src/quarantine/requestQuarantine.js'
+import { RequestQuarantine, QuarantineStatus } from '../../src/quarantine/requestQuarantine.js'
 import { SuspectReports } from '../../src/quarantine/suspectReports.js'
 import { RoutingCommandKind, type RoutingCommand } from '../../src/protocol/routingCommands.js'
 import { silentLogger } from '../../src/utils/logger.js'
@@ -26,46 +26,46 @@
   async lose (number: number, hasTerminated: boolean): Promise<void> {
     const endpointToLose = this.own[number]!
     if (hasTerminated) this.endpoints.refusing.add(endpointToLose.address)
-    this.quarantine.failed(this.quarantine.begin(this.identity, endpointToLose), LOST)
+    this.quarantine.failed(this.quarantine.startRun(this.identity, endpointToLose), LOST)
     await this.clock.advance(CHECKED_WITHIN_MS)
   }
 
-  get status (): RequestStanding {
-    return this.quarantine.standingOf(this.quarantine.identify({ ...REQUEST }))
+  get status (): QuarantineStatus {
+    return this.quarantine.statusOf(this.quarantine.identify({ ...REQUEST }))
   }
 }
 
 test('should distinguish a terminated endpoint from a lost connection', async t => {
   const world = new World()
   await world.lose(0, false)
-  t.is(world.status, RequestStanding.Free)
+  t.is(world.status, QuarantineStatus.Free)
   await world.lose(1, true)
-  t.is(world.status, RequestStanding.Suspected)
+  t.is(world.status, QuarantineStatus.Suspected)
 })
 
 test('should count a new incarnation at the same address as a termination, but not a leave', async t => {
   const world = new World()
   const [first, second] = world.own as [typeof world.own[0], typeof world.own[0]]
-  const runs = [first, second].map(at => world.quarantine.begin(world.identity, at!))
+  const runs = [first, second].map(at => world.quarantine.startRun(world.identity, at!))
   world.view.merge('control-1', { leaves: [{ number: 1, name: second!.name, bornAtMs: 0, lifecycle: 1 }] })
   for (const run of runs) world.quarantine.failed(run, LOST)
   await world.clock.advance(CHECKED_WITHIN_MS)
-  t.is(world.status, RequestStanding.Free)
+  t.is(world.status, QuarantineStatus.Free)
   world.view.merge('control-1', { endpoints: [first!, second!].map((at, position) => ({ ...endpoint(`n${position}`), address: at.address })) })
-  t.is(world.status, RequestStanding.Suspected, 'one termination')
+  t.is(world.status, QuarantineStatus.Suspected, 'one termination')
 })
 
 test('should condemn a request by the terminations that this host saw, and clear it by an answer but not by an error', async t => {
   const world = new World()
   await world.lose(0, true)
   await world.lose(1, true)
-  t.is(world.status, RequestStanding.OnProbation)
-  world.quarantine.answeredWithError(world.quarantine.begin(world.identity, world.own[2]!))
-  t.is(world.status, RequestStanding.OnProbation)
+  t.is(world.status, QuarantineStatus.OnProbation)
+  world.quarantine.answeredWithError(world.quarantine.startRun(world.identity, world.own[2]!))
+  t.is(world.status, QuarantineStatus.OnProbation)
   await world.lose(2, true)
-  t.is(world.status, RequestStanding.Condemned)
-  world.quarantine.answered(world.quarantine.begin(world.identity, world.own[2]!))
-  t.is(world.status, RequestStanding.Free)
+  t.is(world.status, QuarantineStatus.Condemned)
+  world.quarantine.answered(world.quarantine.startRun(world.identity, world.own[2]!))
+  t.is(world.status, QuarantineStatus.Free)
 })
 
 test('should let no two requests on probation run at one endpoint', async t => {
@@ -73,11 +73,11 @@
   await world.lose(0, true)
   await world.lose(1, true)
   const [, , third] = world.own
-  const run = world.quarantine.begin(world.identity, third!)
-  t.false(world.quarantine.mayBegin(RequestStanding.OnProbation, third!))
-  t.true(world.quarantine.mayBegin(RequestStanding.Suspected, third!))
-  world.quarantine.left(run)
-  t.true(world.quarantine.mayBegin(RequestStanding.OnProbation, third!))
+  const run = world.quarantine.startRun(world.identity, third!)
+  t.false(world.quarantine.mayStart(QuarantineStatus.OnProbation, third!))
+  t.true(world.quarantine.mayStart(QuarantineStatus.Suspected, third!))
+  world.quarantine.abandoned(run)
+  t.true(world.quarantine.mayStart(QuarantineStatus.OnProbation, third!))
 })
 
 test('should report a termination once there is a quorum again, without the requests that were answered meanwhile', async t => {
@@ -97,6 +97,6 @@
   reports.cleared('b', false)
   await clock.advance(30_000)
   t.is(sent.length, 3)
-  t.deepEqual(sent.at(-1), { kind: RoutingCommandKind.NoteEnds, ends: [{ endpointId: 'e1', digests: ['a'] }] })
+  t.deepEqual(sent.at(-1), { kind: RoutingCommandKind.RecordEnds, ends: [{ endpointId: 'e1', digests: ['a'] }] })
   scope.close('test over')
 })
--- a/tests/standins/checks.test.ts
+++ b/tests/standins/checks.test.ts
@@ -5,7 +5,7 @@
 import { join } from 'node:path'
 import { GenerationRecord, readRecordFile } from '../../standins/generationRecord.js'
 import { TrainerChecks } from '../../standins/trainerChecks.js'
-import { findFalseVersions } from '../../standins/versionCheck.js'
+import { findVersionMismatches } from '../../standins/versionCheck.js'
 
 const ENGINE = { engineId: 'engine-1', engineIncarnation: 1 }
 
@@ -59,8 +59,8 @@
   record.add(entry, ['a ', 'b '], { weightVersion: 3, ...ENGINE })
   record.add(entry, ['c '], { weightVersion: 4, ...ENGINE })
   t.deepEqual(readRecordFile(file), [...record.entries])
-  t.deepEqual(findFalseVersions([sample()], [...record.entries]), [])
+  t.deepEqual(findVersionMismatches([sample()], [...record.entries]), [])
   const claimsOne = sample({ versions: [{ fromToken: 0, toToken: 3, weightVersion: 4, ...ENGINE }] })
-  t.is(findFalseVersions([claimsOne], [...record.entries]).length, 1)
-  t.is(findFalseVersions([sample({ tokens: ['a ', 'x ', 'c '] })], [...record.entries]).length, 1)
+  t.is(findVersionMismatches([claimsOne], [...record.entries]).length, 1)
+  t.is(findVersionMismatches([sample({ tokens: ['a ', 'x ', 'c '] })], [...record.entries]).length, 1)
 })
--- a/tests/standins/modelEngine.test.ts
+++ b/tests/standins/modelEngine.test.ts
@@ -3,7 +3,7 @@
 import { completionChunkSchema, orderReplySchema, OrderKind, weightsUrl, type CompletionChunk, type Order } from '../../src/protocol/endpoints.js'
 import { systemClock } from '../../src/utils/clock.js'
 import { ModelEngine } from '../../standins/modelEngine.js'
-import { SwapFault } from '../../standins/orderDesk.js'
+import { SwapFault } from '../../standins/orderExecutor.js'
 import { engineSettingsSchema, weightStoreSettingsSchema } from '../../standins/standInSettings.js'
 import { WeightStore } from '../../standins/weightStore.js'
 import { tokenAt } from '../../standins/tokenSource.js'
@@ -93,7 +93,7 @@
 test('should fail a swap before or after the new version takes effect', async t => {
   const engine = await startEngine()
   const store = await startStore()
-  engine.setFaults({ swapFaults: [SwapFault.KeepsOld, SwapFault.ReportsFailure] })
+  engine.setFaults({ swapFaults: [SwapFault.KeepsOldVersion, SwapFault.ReportsFailure] })
   const order = { fencing_number: 1, order_id: 'o1', weight_version: 1, source_url: weightsUrl(store.server.url, 1) }
   t.like(await sendOrder(engine, order), { kind: 'failed', weight_version: 0 })
   t.like(await sendOrder(engine, order), { kind: 'failed', weight_version: 1 })
--- a/tests/utils/memoryWatch.test.ts
+++ b/tests/utils/memoryWatch.test.ts
@@ -60,21 +60,21 @@
   await setUsedPercent(70)
   await setUsedPercent(80)
   t.deepEqual(events, [{
-    number: MemoryEvent.LevelPassed,
+    number: MemoryEvent.LevelReached,
     fields: { levelPercent: 70, limitBytes: LIMIT_BYTES, residentBytes: 0.7 * LIMIT_BYTES, heapBytes: 3, externalBytes: 4 }
   }])
   await setUsedPercent(96)
-  t.deepEqual(levels(events, MemoryEvent.LevelPassed), MEMORY_LEVELS_PERCENT)
+  t.deepEqual(levels(events, MemoryEvent.LevelReached), MEMORY_LEVELS_PERCENT)
 })
 
 test('should log that a level is cleared only well below it, and log the level again after that', async t => {
   const { setUsedPercent, events } = startWatch(LIMIT_BYTES)
   for (const percent of [86, 84, 86, 81]) await setUsedPercent(percent)
-  t.deepEqual(levels(events, MemoryEvent.LevelPassed), [70, 85])
-  t.deepEqual(levels(events, MemoryEvent.LevelLeft), [])
+  t.deepEqual(levels(events, MemoryEvent.LevelReached), [70, 85])
+  t.deepEqual(levels(events, MemoryEvent.LevelCleared), [])
   for (const percent of [79, 86]) await setUsedPercent(percent)
-  t.deepEqual(levels(events, MemoryEvent.LevelPassed), [70, 85, 85])
-  t.deepEqual(levels(events, MemoryEvent.LevelLeft), [85])
+  t.deepEqual(levels(events, MemoryEvent.LevelReached), [70, 85, 85])
+  t.deepEqual(levels(events, MemoryEvent.LevelCleared), [85])
 })
 
 test('should show the used memory and the limit as gauges', async t => {
--- a/tests/utils/suspension.test.ts
+++ b/tests/utils/suspension.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava'
-import { SuspensionSense } from '../../src/utils/suspension.js'
+import { SuspensionDetector } from '../../src/utils/suspension.js'
 
 class Clocks {
   monotonicMs = 1_000
   wallMs = 1_700_000_000_000
-  readonly detector = new SuspensionSense(() => this.monotonicMs, () => this.wallMs)
+  readonly detector = new SuspensionDetector(() => this.monotonicMs, () => this.wallMs)
 
   advance (monotonicMs: number, wallMs = monotonicMs): number {
     this.monotonicMs += monotonicMs
--- a/tests/virtualClock.test.ts
+++ b/tests/virtualClock.test.ts
@@ -25,5 +25,5 @@
   const raced = await clock.advanceUntil(progress.race(new Promise<void>(() => {})))
   t.deepEqual(raced, { kind: 'deadlinePassed' })
   t.is(clock.nowMs(), 50)
-  t.true(progress.isOver())
+  t.true(progress.isPastDeadline())
 })
--- a/tools/capacity/events.ts
+++ b/tools/capacity/events.ts
@@ -4,7 +4,7 @@
  * from measured slopes.
  */
 import { CONFIGURATION_LEASE_MS } from '../../src/control/hosts/leaseTable.js'
-import { SILENCE_MS } from '../../src/control/hosts/silentHosts.js'
+import { HOST_SILENCE_TIMEOUT_MS } from '../../src/control/hosts/silentHostRemoval.js'
 import { MAX_KEYS_COUNT, UNREPEATABLE_RETENTION_MS } from '../../src/control/ledgers/unrepeatableLedger.js'
 import { defaultTimings } from '../../src/replication/log/timings.js'
 import { defaultLimits } from '../../src/entry/entrySettings.js'
@@ -50,7 +50,7 @@
 
 | event | hosts | pushes | hellos | leader's processor time | effect on callers, from the programs' timers |
 | --- | --- | --- | --- | --- | --- |
-${row('6 hosts fail in a day', book, target.failedHostsPerDay, `a failed host is no longer advised after ${seconds(hostLeaseMs)}, callers that cached the advice use other hosts after ${seconds(adviceValidMs)} at most; the host is removed from the configuration after ${seconds(SILENCE_MS)}`)}
+${row('6 hosts fail in a day', book, target.failedHostsPerDay, `a failed host is no longer advised after ${seconds(hostLeaseMs)}, callers that cached the advice use other hosts after ${seconds(adviceValidMs)} at most; the host is removed from the configuration after ${seconds(HOST_SILENCE_TIMEOUT_MS)}`)}
 ${row('110 hosts are restarted in a day', book, target.restartedHostsPerDay, `each is no longer advised first, and stops after ${seconds(adviceValidMs)} or its last answer`)}
 ${row('a rack fails', book, assumed.rackHosts, `as for six hosts, all at once; endpoints in the rack are removed after ${seconds(endpointLeaseMs)}`)}
 ${row('a data centre fails', book, Math.round(hostsPerDataCentre), `${Math.round(target.engines / target.dataCentres)} engines are removed after ${seconds(endpointLeaseMs)}; if the leader was there, a new one is elected after a time-out of ${seconds(electionMinMs)} to ${seconds(electionMaxMs)} and the votes`)}
