--- a/bench/rollouts/scenario.ts
+++ b/bench/rollouts/scenario.ts
@@ -56,7 +56,7 @@
 const PROMPT_SIGMA = 0.6
 const SAMPLE_SIGMA = 0.5
 const ENGINE_DOWNTIME_MS = 20_000
-const PACE: EngineProfile = { ...defaultEngineProfile, maxConcurrentCount: 16 }
+const ENGINE_PROFILE: EngineProfile = { ...defaultEngineProfile, maxConcurrentCount: 16 }
 const STORE = { weightBytes: 500_000_000, adapterBytes: 100_000_000, bytesPerSecond: 1_000_000_000 }
 
 function normal (random: RandomSource): number {
@@ -86,7 +86,7 @@
     seed,
     hostsCount: HOSTS_COUNT,
     enginesCount: ENGINES_COUNT,
-    engineProfile: PACE,
+    engineProfile: ENGINE_PROFILE,
     store: STORE,
     recordsOrigins: false,
     drawLength: heavyTail(seed),
@@ -181,13 +181,13 @@
  * from which it may be started ahead.
  */
 function lowerBoundMs (trainers: VirtualTrainer[], deliveredCount: number, { trainMs, startAheadSteps }: Scenario): number {
-  const engineMs = 1000 * deliveredCount / (ENGINES_COUNT * maxTokensPerSecond(PACE))
+  const engineMs = 1000 * deliveredCount / (ENGINES_COUNT * maxTokensPerSecond(ENGINE_PROFILE))
   const chainsMs = trainers.map(({ steps }) => chainMs(steps.map(({ longestTokensCount }) => longestTokensCount), trainMs, startAheadSteps))
   return Math.max(engineMs + trainMs, ...chainsMs)
 }
 
 function chainMs (longestTokensCounts: number[], trainMs: number, startAheadSteps: number): number {
-  const msPerToken = PACE.roundMs / PACE.tokensPerRound
+  const msPerToken = ENGINE_PROFILE.roundMs / ENGINE_PROFILE.tokensPerRound
   const pullTimesMs: number[] = []
   let readyAtMs = 0
   for (const [step, longestTokensCount] of longestTokensCounts.entries()) {
@@ -204,7 +204,7 @@
   const [trainer] = trainers
   const storeMs = ENGINES_COUNT * world.store.transferMs()
   const ratios = (trainer?.published ?? []).slice(0, stepsCount - 1).flatMap(({ weightVersion, atMs }) => {
-    const applied = [...world.engines.values()].map(({ executedOrders: carriedOut }) => carriedOut.find(({ target }) => target === weightVersion)?.appliedAtMs)
+    const applied = [...world.engines.values()].map(({ executedOrders }) => executedOrders.find(({ target }) => target === weightVersion)?.appliedAtMs)
     if (applied.includes(undefined)) return []
     return [(Math.max(...applied as number[]) - atMs) / storeMs]
   })
--- a/src/batches/batchDispatcher.ts
+++ b/src/batches/batchDispatcher.ts
@@ -188,9 +188,9 @@
     const { clock, supervisor: parent } = this._options
     const supervisor = parent.child(`batch ${batch.batchId}`)
     this.demand.recordStep(batch.submission, this._options.view.namedVersion(batch.submission.model))
-    const batchSettings = this.routeOf(batch.submission.host, batch.submission.path)?.batch
+    const batchPolicy = this.routeOf(batch.submission.host, batch.submission.path)?.batch
     const nowMs = clock.nowMs()
-    const times = this._options.ages.timesOf(batch, batchSettings)
+    const times = this._options.ages.timesOf(batch, batchPolicy)
     this._tracked.set(batch.batchId, { batch, supervisor, startedAtMs: nowMs, dueAtMs: times.dueAtMs })
     for (const item of batch.openItems()) this._startItem(batch, item, times, supervisor)
   }
--- a/src/batches/batchEvents.ts
+++ b/src/batches/batchEvents.ts
@@ -36,7 +36,7 @@
 export const batchEventCatalogue: EventCatalogue = {
   [BatchEvent.Started]: { level: LogLevel.Info, text: 'The store host has started.', advice: 'None.' },
   [BatchEvent.Stopping]: { level: LogLevel.Info, text: 'The store host is shutting down.', advice: 'None.' },
-  [BatchEvent.BrokenInvariant]: { level: LogLevel.Error, text: 'A violated invariant or a disk failure stops the process.', advice: 'Read the error. If the disk failed or is full, repair it or delete the data folder and restart: the host joins as a new replica. Otherwise keep the data folder and report the error.' },
+  [BatchEvent.BrokenInvariant]: { level: LogLevel.Error, text: 'The process stops because of a violated invariant or a disk failure.', advice: 'Read the error. If the disk has failed or is full, repair it or delete the data folder and restart: the host joins as a new replica. Otherwise keep the data folder and report the error.' },
   [BatchEvent.StoreAdopted]: { level: LogLevel.Info, text: 'This replica is an initial member of the batch store.', advice: 'Expected once per disk.' },
   [BatchEvent.StoreJoinRequested]: { level: LogLevel.Info, text: 'The host requested to join the batch store.', advice: 'If this repeats, the store has no leader or no room for another member.' },
   [BatchEvent.BatchAccepted]: { level: LogLevel.Info, text: 'A batch was accepted and is stored on the disks of a quorum.', advice: 'None.' },
--- a/src/batches/batchTimes.ts
+++ b/src/batches/batchTimes.ts
@@ -45,10 +45,10 @@
    * scheduling, relies on the wall clocks of two leaders, which may differ.
    * `abandonAtMs` relies on this host's own clock alone.
    */
-  timesOf (batch: Batch, batchSettings: BatchPolicy | undefined): BatchTimes {
+  timesOf (batch: Batch, batchPolicy: BatchPolicy | undefined): BatchTimes {
     const nowMs = this._clock.nowMs()
-    const dueMs = batchSettings?.dueMs ?? DEFAULT_DUE_MS
-    const maxQueueMs = batchSettings?.maxQueueMs ?? DEFAULT_DUE_MS
+    const dueMs = batchPolicy?.dueMs ?? DEFAULT_DUE_MS
+    const maxQueueMs = batchPolicy?.maxQueueMs ?? DEFAULT_DUE_MS
     const observedAgeMs = this._observedAgeMs(batch)
     const ageMs = Math.max(observedAgeMs, Math.min(maxQueueMs, this._clock.wallMs() - batch.acceptedAtMs))
     const longestMs = Math.max(0, ...batch.openItems().map(({ expectedTokensCount }) => expectedTokensCount * ASSUMED_TOKEN_MS))
--- a/src/batches/itemOrder.ts
+++ b/src/batches/itemOrder.ts
@@ -164,7 +164,7 @@
 
 /** Expected time per event of an engine with one more run; undefined when its pace is unknown or uncertain. */
 function gapWithOneMoreMs (engine: Engine): number | undefined {
-  const { currentGapMs: presentGapMs, baselineGapMs: naturalGapMs, needsProbe: isInDoubt } = engine.pace
-  if (presentGapMs !== undefined) return presentGapMs
-  return isInDoubt || naturalGapMs === undefined ? undefined : naturalGapMs * (1 + FULL_BATCH_SLOWDOWN * busyShareOf(engine))
+  const { currentGapMs, baselineGapMs, needsProbe } = engine.pace
+  if (currentGapMs !== undefined) return currentGapMs
+  return needsProbe || baselineGapMs === undefined ? undefined : baselineGapMs * (1 + FULL_BATCH_SLOWDOWN * busyShareOf(engine))
 }
--- a/src/bin/threaddrumEntry.ts
+++ b/src/bin/threaddrumEntry.ts
@@ -10,7 +10,7 @@
   name: 'threaddrum-entry',
   settingsSchema: entrySettingsSchema,
   eventCatalogue: { ...entryEventCatalogue, ...rolloutEventCatalogue },
-  brokenInvariantEvent: EntryEvent.InvariantBroken,
+  brokenInvariantEvent: EntryEvent.BrokenInvariant,
   requirements: ({ host }) => ({
     addresses: {
       'host.callerAddress': host.callerAddress,
--- a/src/control/clientSessions.ts
+++ b/src/control/clientSessions.ts
@@ -87,8 +87,8 @@
       if (session.sentRevision === undefined || session.sentRevision >= revision) continue
       const since = history.since(session.sentRevision)
       session.sentRevision = revision
-      const fitsOneNotice = since.kind === 'changes' && since.changes.length <= MAX_PUSHED_COUNT
-      if (fitsOneNotice) session.peer.notify(changesMethod, { clusterId, changes: since.changes })
+      const fitsOneNotification = since.kind === 'changes' && since.changes.length <= MAX_PUSHED_COUNT
+      if (fitsOneNotification) session.peer.notify(changesMethod, { clusterId, changes: since.changes })
     }
   }
 }
--- a/src/control/controlEvents.ts
+++ b/src/control/controlEvents.ts
@@ -26,7 +26,7 @@
 export const controlEventCatalogue: EventCatalogue = {
   [ControlEvent.Started]: { level: LogLevel.Info, text: 'The control host has started.', advice: 'None.' },
   [ControlEvent.Stopping]: { level: LogLevel.Info, text: 'The control host is performing a planned stop.', advice: 'None.' },
-  [ControlEvent.BrokenInvariant]: { level: LogLevel.Error, text: 'The process stops because of a violated invariant or a disk failure.', advice: 'Read the error. If the disk has failed or is full, repair it or wipe the data folder and restart: the host joins as a new replica. Otherwise keep the data folder and report the error.' },
+  [ControlEvent.BrokenInvariant]: { level: LogLevel.Error, text: 'The process stops because of a violated invariant or a disk failure.', advice: 'Read the error. If the disk has failed or is full, repair it or delete the data folder and restart: the host joins as a new replica. Otherwise keep the data folder and report the error.' },
   [ControlEvent.EntryHostSilent]: { level: LogLevel.Warn, text: 'An entry host did not renew its lease for too long and was removed from the configuration.', advice: 'Check the host. It registers again automatically when it reconnects.' },
   [ControlEvent.FollowerJoined]: { level: LogLevel.Info, text: 'A host started to follow this control host.', advice: 'None.' },
   [ControlEvent.FollowerLost]: { level: LogLevel.Warn, text: 'A host no longer follows this control host.', advice: 'Expected when the host stops. Otherwise check the host and the network.' },
--- a/src/control/operatorApi/quarantineCalls.ts
+++ b/src/control/operatorApi/quarantineCalls.ts
@@ -35,7 +35,7 @@
     if (!quarantineEntrySchema.shape.digest.safeParse(digest).success) return { kind: 'malformedDigest' }
     const listed = await this.list(progress)
     if (listed.kind !== 'done') return listed
-    if (!this._node.state.routing.ends.all().some(notice => notice.digest === digest)) return { kind: 'unknownDigest' }
+    if (!this._node.state.routing.ends.all().some(entry => entry.digest === digest)) return { kind: 'unknownDigest' }
     const reply = await this._leaderCalls.submit({ kind: RoutingCommandKind.ClearSuspects, digests: [digest] }, progress)
     if (reply.kind !== 'committed') return { kind: 'unavailable', reason: 'reason' in reply ? reply.reason : 'no leader is known' }
     return { kind: 'done', body: { lifted: digest } }
--- a/src/control/routing/quarantineState.ts
+++ b/src/control/routing/quarantineState.ts
@@ -13,8 +13,8 @@
 
 /** Limit of recorded requests, about 150 bytes each. Most suspected requests are never sent again. */
 const MAX_SUSPECTS_COUNT = 1_024
-/** Limit of notices that are kept for hosts that connect later. */
-const MAX_NOTICES_COUNT = 512
+/** Limit of entries that are kept for hosts that connect later. */
+const MAX_ENTRIES_COUNT = 512
 /** Limit of recorded ends for one request. */
 const MAX_RECORDED_ENDS_COUNT = 16
 /** A single end is weak evidence: a request is published to all hosts from its second end on. */
@@ -24,7 +24,7 @@
   digest: string
   endpointIds: string[]
   endedAtMs: number
-  /** How many requests reached `CONDEMNING_ENDS_COUNT` ends before this one; absent while this one has fewer. */
+  /** How many requests reached `QUARANTINE_THRESHOLD_COUNT` ends before this one; absent while this one has fewer. */
   condemnedAtCount?: number
 }
 
@@ -38,8 +38,8 @@
 export class QuarantineState {
   /** By digest; the request with the least recent end comes first. */
   private _suspects = new Map<string, Suspect>()
-  /** The newest notice about each request, by digest, in the order of their numbers. */
-  private _notices = new Map<string, QuarantineEntry>()
+  /** The newest entry about each request, by digest, in the order of their numbers. */
+  private _entries = new Map<string, QuarantineEntry>()
   private _lastNumber = 0
   private _condemnedCount = 0
 
@@ -63,12 +63,12 @@
     this._updateVerdicts()
   }
 
-  /** Notices with a higher number, in order. */
+  /** Entries with a higher number, in order. */
   since (number: number): QuarantineEntry[] {
-    return [...this._notices.values()].filter(notice => notice.number > number)
+    return [...this._entries.values()].filter(entry => entry.number > number)
   }
 
-  /** Notices of all requests that are suspected or condemned now, the latest last. */
+  /** Entries of all requests that are suspected or condemned now, the latest last. */
   all (): QuarantineEntry[] {
     return this.since(0).filter(({ verdict }) => verdict !== QuarantineVerdict.Cleared)
   }
@@ -79,7 +79,7 @@
 
   restore ({ suspects, notices, lastNumber, condemnedCount }: QuarantineSnapshot): void {
     this._suspects = new Map(suspects.map(suspect => [suspect.digest, suspect]))
-    this._notices = new Map(notices.map(notice => [notice.digest, notice]))
+    this._entries = new Map(notices.map(entry => [entry.digest, entry]))
     this._lastNumber = lastNumber
     this._condemnedCount = condemnedCount
   }
@@ -106,7 +106,7 @@
   private _updateVerdict (suspect: Suspect): void {
     const { digest, endpointIds, endedAtMs } = suspect
     const verdict = this._isCondemned(suspect) ? QuarantineVerdict.Condemned : QuarantineVerdict.Suspected
-    const published = this._notices.get(digest)
+    const published = this._entries.get(digest)
     if (published?.verdict === verdict && published.endpointIds.length === endpointIds.length && published.endedAtMs === endedAtMs) return
     this._publish({ digest, verdict, endpointIds, endedAtMs })
   }
@@ -116,11 +116,11 @@
     return ![...this._suspects.values()].some(other => other !== suspect && accountsFor(other, suspect))
   }
 
-  private _publish (notice: Omit<QuarantineEntry, 'number'>): void {
-    this._notices.delete(notice.digest)
-    this._notices.set(notice.digest, { ...notice, number: ++this._lastNumber })
-    const [oldest] = this._notices.keys()
-    if (this._notices.size > MAX_NOTICES_COUNT && oldest !== undefined) this._notices.delete(oldest)
+  private _publish (entry: Omit<QuarantineEntry, 'number'>): void {
+    this._entries.delete(entry.digest)
+    this._entries.set(entry.digest, { ...entry, number: ++this._lastNumber })
+    const [oldest] = this._entries.keys()
+    if (this._entries.size > MAX_ENTRIES_COUNT && oldest !== undefined) this._entries.delete(oldest)
   }
 
   /** Evicts requests below the condemning count first, so that condemned ones stay longest. */
--- a/src/controlClient/configurationLease.ts
+++ b/src/controlClient/configurationLease.ts
@@ -91,9 +91,9 @@
   }
 
   /** Applies changes that the leader pushes. */
-  onChanges (notice: ChangesNotification): void {
-    if (notice.clusterId !== this._clusterId) return
-    this._options.configuration.applyChanges(notice.changes)
+  onChanges (notification: ChangesNotification): void {
+    if (notification.clusterId !== this._clusterId) return
+    this._options.configuration.applyChanges(notification.changes)
     this._reportRevision()
     this._hasUnconfirmedChanges = true
     this._changed.notify()
--- a/src/controlClient/networkControlClient.ts
+++ b/src/controlClient/networkControlClient.ts
@@ -59,7 +59,7 @@
       operatorAddress,
       register: async (own, progress) => (await this.submit(registerCommand(own), progress)).kind === 'committed'
     })
-    handlers.on(changesMethod, notice => this._lease.onChanges(notice))
+    handlers.on(changesMethod, notification => this._lease.onChanges(notification))
   }
 
   start (): void {
--- a/src/duties/infrastructure.ts
+++ b/src/duties/infrastructure.ts
@@ -42,5 +42,5 @@
   /**
    * @param mayAct checked immediately before the request is written: connecting may have taken longer than the duty lasted
    */
-  call: (call: DutyCall, standing: DutyHolder, mayAct: () => boolean, deadlineMs: number, scope: Scope) => Promise<DutyOutcome>
+  call: (call: DutyCall, dutyHolder: DutyHolder, mayAct: () => boolean, deadlineMs: number, scope: Scope) => Promise<DutyOutcome>
 }
--- a/src/endpoints/endpointClient.ts
+++ b/src/endpoints/endpointClient.ts
@@ -157,7 +157,7 @@
   /** Sends a request and reads the complete answer. */
   call: (request: EndpointRequest, scope: Scope) => Promise<EndpointOutcome>
   /** Sends a request and, if the answer is a stream, passes it on as it arrives. */
-  stream: (request: StreamedRequest, scope: Scope, listener: StreamHandler) => Promise<StreamOutcome>
+  stream: (request: StreamedRequest, scope: Scope, handler: StreamHandler) => Promise<StreamOutcome>
   /** Runs a rollout item; calls `onEvent` as the endpoint generates events. */
   runItem: (request: ItemRequest, scope: Scope, onEvent: (event: ItemEvent) => void) => Promise<ItemOutcome>
   /** Queries the state of the endpoint; undefined when it does not answer in time. */
--- a/src/entry/directory/announcements.ts
+++ b/src/entry/directory/announcements.ts
@@ -63,15 +63,15 @@
   }
 
   private async _handle (exchange: Exchange): Promise<void> {
-    const { responseWriter: answers } = this._options
+    const { responseWriter } = this._options
     const read = await readBody(exchange, MAX_ANNOUNCEMENT_BYTES)
-    if (read.kind === 'refused') return answers.refuse(exchange, read.refusal)
+    if (read.kind === 'refused') return responseWriter.refuse(exchange, read.refusal)
     const parsed = announcementSchema.safeParse(parseJson(read.body))
     if (!parsed.success) {
       const message = z.prettifyError(parsed.error)
-      return answers.refuse(exchange, { reason: RefusalReason.MalformedRequest, executed: Executed.No, message })
+      return responseWriter.refuse(exchange, { reason: RefusalReason.MalformedRequest, executed: Executed.No, message })
     }
-    answers.json(exchange, 200, this.announce(parsed.data))
+    responseWriter.json(exchange, 200, this.announce(parsed.data))
   }
 
   private _endpoint (endpointId: string): EndpointFullRecord | undefined {
--- a/src/entry/rollouts/jobOutlooks.ts
+++ b/src/entry/rollouts/jobOutlooks.ts
@@ -14,9 +14,9 @@
     this._listeners.push(listener)
   }
 
-  update (outlooks: JobStatus[]): void {
-    const hasNewer = outlooks.some(({ job, publishedVersion }) => publishedVersion > (this._byJob.get(job)?.publishedVersion ?? 0))
-    for (const outlook of outlooks) this._byJob.set(outlook.job, outlook)
+  update (statuses: JobStatus[]): void {
+    const hasNewer = statuses.some(({ job, publishedVersion }) => publishedVersion > (this._byJob.get(job)?.publishedVersion ?? 0))
+    for (const status of statuses) this._byJob.set(status.job, status)
     if (hasNewer) for (const listener of this._listeners) listener()
   }
 
--- a/src/entry/rollouts/slotLeaser.ts
+++ b/src/entry/rollouts/slotLeaser.ts
@@ -123,7 +123,7 @@
     const running = [...this._running.values()].filter(({ slot }) => this._specOf(slot.job)?.pool === spec.pool)
     const ownCount = running.filter(({ slot }) => slot.job === job).length
     const freeCount = Math.max(0, capacityCount - running.length)
-    const isStepDrained = this._outlooksOf(spec.pool).every(outlook => outlook.waitingCount === 0)
+    const isStepDrained = this._outlooksOf(spec.pool).every(status => status.waitingCount === 0)
     return {
       job,
       maxSlotsCount: Math.max(0, capacityCount - ownCount),
--- a/src/entry/rollouts/weights/weightTargets.ts
+++ b/src/entry/rollouts/weights/weightTargets.ts
@@ -14,10 +14,10 @@
   weightVersion: number
 }
 
-export function targetsOf (pool: string, jobs: Array<ResourceOf<ResourceKind.RolloutJob>>, outlookOf: (job: string) => JobStatus | undefined): WeightTarget[] {
+export function targetsOf (pool: string, jobs: Array<ResourceOf<ResourceKind.RolloutJob>>, statusOf: (job: string) => JobStatus | undefined): WeightTarget[] {
   const newest = new Map<string | undefined, number>()
   for (const { name, spec } of jobs) {
-    const published = outlookOf(name)?.publishedVersion ?? 0
+    const published = statusOf(name)?.publishedVersion ?? 0
     if (spec.pool !== pool || published === 0) continue
     newest.set(spec.adapter, Math.max(newest.get(spec.adapter) ?? 0, published))
   }
--- a/src/fleet/knownQuarantine.ts
+++ b/src/fleet/knownQuarantine.ts
@@ -1,41 +1,41 @@
 /**
- * The notices about quarantined requests that this host has received. Several
- * control hosts send the same notices; of two about one request the newer wins.
+ * The entries about quarantined requests that this host has received. Several
+ * control hosts send the same entries; of two about one request the newer wins.
  */
 import { LRUCache } from 'lru-cache'
 import { QuarantineVerdict, type QuarantineEntry } from '../protocol/quarantine.js'
 
 /** The same number as a control host keeps. */
-const MAX_NOTICES_COUNT = 512
+const MAX_ENTRIES_COUNT = 512
 
 export class KnownQuarantine {
-  private readonly _notices = new LRUCache<string, QuarantineEntry>({ max: MAX_NOTICES_COUNT })
-  private readonly _listeners = new Set<(notice: QuarantineEntry) => void>()
+  private readonly _entries = new LRUCache<string, QuarantineEntry>({ max: MAX_ENTRIES_COUNT })
+  private readonly _listeners = new Set<(entry: QuarantineEntry) => void>()
 
-  /** Adds a listener that is called for each notice that is new here. */
-  onUpdate (listener: (notice: QuarantineEntry) => void): void {
+  /** Adds a listener that is called for each entry that is new here. */
+  onUpdate (listener: (entry: QuarantineEntry) => void): void {
     this._listeners.add(listener)
   }
 
-  merge (notices: readonly QuarantineEntry[]): void {
-    for (const notice of notices) {
-      const known = this._notices.peek(notice.digest)
-      if (known && known.number >= notice.number) continue
-      this._notices.set(notice.digest, notice)
-      for (const listener of this._listeners) listener(notice)
+  merge (entries: readonly QuarantineEntry[]): void {
+    for (const entry of entries) {
+      const known = this._entries.peek(entry.digest)
+      if (known && known.number >= entry.number) continue
+      this._entries.set(entry.digest, entry)
+      for (const listener of this._listeners) listener(entry)
     }
   }
 
   get (digest: string): QuarantineEntry | undefined {
-    return this._notices.get(digest)
+    return this._entries.get(digest)
   }
 
-  /** Whether there are no notices at all, which is the usual case. */
+  /** Whether there are no entries at all, which is the usual case. */
   get isEmpty (): boolean {
-    return this._notices.size === 0
+    return this._entries.size === 0
   }
 
   condemnedDigests (): string[] {
-    return [...this._notices.values()].filter(({ verdict }) => verdict === QuarantineVerdict.Condemned).map(({ digest }) => digest)
+    return [...this._entries.values()].filter(({ verdict }) => verdict === QuarantineVerdict.Condemned).map(({ digest }) => digest)
   }
 }
--- a/src/quarantine/requestQuarantine.ts
+++ b/src/quarantine/requestQuarantine.ts
@@ -77,17 +77,17 @@
   private readonly _answeredAtMs = new LRUCache<string, number>({ max: MAX_ANSWERED_COUNT })
   /** Number of running requests by endpoint that are suspected or on probation. */
   private readonly _riskyCounts = new Map<string, number>()
-  private readonly _withheldLogFilter: LogThrottle
+  private readonly _withheldLogThrottle: LogThrottle
   /** The running request on probation, by endpoint. */
   private readonly _probationRuns = new Map<string, QuarantinedRun>()
 
   constructor (options: RequestQuarantineOptions) {
     this._options = options
     const { view, clock, client, supervisor, logger, submit } = options
-    this._withheldLogFilter = new LogThrottle(clock)
+    this._withheldLogThrottle = new LogThrottle(clock)
     this._runs = new EndpointRuns({ view, clock, client, supervisor, onTerminated: (endpoint, identities) => this._onTerminated(endpoint, identities) })
     this._reports = new SuspectReports({ clock, logger, submit })
-    view.quarantine.onUpdate(notice => this._onNotice(notice))
+    view.quarantine.onUpdate(entry => this._onEntry(entry))
   }
 
   start (): void {
@@ -141,8 +141,8 @@
     this._runs.done(run)
     const { digest } = run.identity
     this._answeredAtMs.set(digest, this._options.clock.nowMs())
-    const notice = this._options.view.quarantine.get(digest)
-    const isSuspected = notice !== undefined && notice.verdict !== QuarantineVerdict.Cleared
+    const entry = this._options.view.quarantine.get(digest)
+    const isSuspected = entry !== undefined && entry.verdict !== QuarantineVerdict.Cleared
     const hadOwn = this._ownTerminations.delete(digest)
     if (!hadOwn && !isSuspected) return
     this._reports.cleared(digest, isSuspected)
@@ -170,24 +170,24 @@
     const { logger, metrics, view } = this._options
     const { digest } = identity
     metrics.count(MetricName.QuarantineHeldBack)
-    if (!this._withheldLogFilter.shouldLog(digest)) return
+    if (!this._withheldLogThrottle.shouldLog(digest)) return
     const endpointIds = view.quarantine.get(digest)?.endpointIds ?? [...this._ownTerminations.get(digest) ?? []]
     logger.event(QuarantineEvent.RequestWithheld, { digest, endpointIds, ...fields })
   }
 
   /** Terminations that count against a request: those reported by control hosts, and others seen by this host. */
   private _terminationsCount (digest: string): number {
-    const notice = this._options.view.quarantine.get(digest)
+    const entry = this._options.view.quarantine.get(digest)
     const own = this._ownTerminations.get(digest)
-    const unreportedCount = [...own ?? []].filter(endpointId => notice?.endpointIds.includes(endpointId) !== true).length
-    return this._reportedCount(notice, unreportedCount) + unreportedCount
+    const unreportedCount = [...own ?? []].filter(endpointId => entry?.endpointIds.includes(endpointId) !== true).length
+    return this._reportedCount(entry, unreportedCount) + unreportedCount
   }
 
-  private _reportedCount (notice: QuarantineEntry | undefined, unreportedCount: number): number {
-    if (!notice || notice.verdict === QuarantineVerdict.Cleared) return 0
-    const isExpired = this._options.clock.wallMs() - notice.endedAtMs > QUARANTINE_MS
-    const { length } = notice.endpointIds
-    if (notice.verdict === QuarantineVerdict.Condemned) return isExpired && unreportedCount === 0 ? QUARANTINE_THRESHOLD_COUNT - 1 : length
+  private _reportedCount (entry: QuarantineEntry | undefined, unreportedCount: number): number {
+    if (!entry || entry.verdict === QuarantineVerdict.Cleared) return 0
+    const isExpired = this._options.clock.wallMs() - entry.endedAtMs > QUARANTINE_MS
+    const { length } = entry.endpointIds
+    if (entry.verdict === QuarantineVerdict.Condemned) return isExpired && unreportedCount === 0 ? QUARANTINE_THRESHOLD_COUNT - 1 : length
     // Enough terminations to condemn the request, but it is not condemned: other requests account for them.
     return isExpired ? 0 : Math.min(length, QUARANTINE_THRESHOLD_COUNT - 1)
   }
@@ -211,7 +211,7 @@
     this._logVerdict(terminationsCount >= QUARANTINE_THRESHOLD_COUNT ? QuarantineVerdict.Condemned : QuarantineVerdict.Suspected, digest, [...own], 'seen here')
   }
 
-  private _onNotice ({ digest, verdict, endpointIds }: QuarantineEntry): void {
+  private _onEntry ({ digest, verdict, endpointIds }: QuarantineEntry): void {
     if (verdict === QuarantineVerdict.Cleared) this._ownTerminations.delete(digest)
     this._logVerdict(verdict, digest, endpointIds, 'told')
     this._options.metrics.gauge(MetricName.QuarantineCondemned, this._options.view.quarantine.condemnedDigests().length)
--- a/src/replication/log/logApplier.ts
+++ b/src/replication/log/logApplier.ts
@@ -134,7 +134,7 @@
   }
 
   private async _takeSnapshot (scope: Scope): Promise<void> {
-    const { state, snapshotStats: snapshots, options: { clock, storage, logger } } = this._core
+    const { state, snapshotStats, options: { clock, storage, logger } } = this._core
     const startedAtMs = clock.nowMs()
     const restoresCount = this._restoresCount
     const header = this._snapshotHeader()
@@ -146,7 +146,7 @@
     // A later snapshot from the leader was installed in the meantime.
     if (restoresCount !== this._restoresCount) return await scope.race(storage.discardSnapshot(written))
     state.compact(written, this._policy.keptEntriesCount)
-    logger.event(ReplicationEvent.SnapshotTaken, { lastIndex: written.lastIndex, bytesCount: written.lengthBytes, tookMs: snapshots.recordTaken(written.lengthBytes, startedAtMs) })
+    logger.event(ReplicationEvent.SnapshotTaken, { lastIndex: written.lastIndex, bytesCount: written.lengthBytes, tookMs: snapshotStats.recordTaken(written.lengthBytes, startedAtMs) })
   }
 
   private _snapshotHeader (): SnapshotHeader {
--- a/src/utils/logOutput.ts
+++ b/src/utils/logOutput.ts
@@ -27,7 +27,7 @@
   private readonly _stream: Writable
   private _isBroken = false
 
-  constructor ({ stream, clock, onDropped: onLineDropped }: LogOutputOptions) {
+  constructor ({ stream, clock, onDropped }: LogOutputOptions) {
     this._stream = stream
     this.budget = new LogBudget({
       clock,
@@ -36,7 +36,7 @@
       burstCount: BURST_COUNT,
       reservedCount: RESERVED_COUNT,
       maxPendingBytes: MAX_PENDING_BYTES,
-      onDropped: onLineDropped
+      onDropped
     })
     // The reader has closed the stream: all further lines are dropped and counted.
     stream.on('error', () => { this._isBroken = true })
--- a/standins/generationRecord.ts
+++ b/standins/generationRecord.ts
@@ -56,9 +56,9 @@
     return entry
   }
 
-  add (entry: GenerationEntry, tokens: string[], maker: TokenOrigin): void {
-    if (this._file !== undefined) this._append(this._file, entry, tokens, maker)
-    addTokens(entry, tokens, maker)
+  add (entry: GenerationEntry, tokens: string[], origin: TokenOrigin): void {
+    if (this._file !== undefined) this._append(this._file, entry, tokens, origin)
+    addTokens(entry, tokens, origin)
   }
 
   private _append (file: string, entry: GenerationEntry, tokens: string[], maker: TokenOrigin): void {
@@ -86,11 +86,11 @@
   return entry.resumedFromToken + entry.tokens.length
 }
 
-function addTokens (entry: GenerationEntry, tokens: string[], maker: TokenOrigin): void {
+function addTokens (entry: GenerationEntry, tokens: string[], origin: TokenOrigin): void {
   const fromToken = nextTokenIndex(entry)
   const toToken = fromToken + tokens.length
   const last = entry.spans.at(-1)
   entry.tokens.push(...tokens)
-  if (last && last.weightVersion === maker.weightVersion) last.toToken = toToken
-  else entry.spans.push({ fromToken, toToken, ...maker })
+  if (last && last.weightVersion === origin.weightVersion) last.toToken = toToken
+  else entry.spans.push({ fromToken, toToken, ...origin })
 }
--- a/tests/control/replicaReports.test.ts
+++ b/tests/control/replicaReports.test.ts
@@ -167,12 +167,12 @@
 
 test('should count the time of an arriving snapshot from its first piece', async t => {
   const clock = new VirtualClock()
-  const figures = new SnapshotStats(clock)
-  figures.recordChunkArrived(7)
+  const stats = new SnapshotStats(clock)
+  stats.recordChunkArrived(7)
   await clock.advance(300)
-  figures.recordChunkArrived(7)
+  stats.recordChunkArrived(7)
   await clock.advance(200)
-  t.is(figures.recordInstalled(10), 500)
+  t.is(stats.recordInstalled(10), 500)
 })
 
 test('should log at the leader why a replica is not admitted', async t => {
--- a/tests/endpoints/endpointHealth.test.ts
+++ b/tests/endpoints/endpointHealth.test.ts
@@ -106,14 +106,14 @@
   const first = world()
   const second = world()
   for (const subject of ['a', 'b', 'c']) {
-    const account = new FailureAttribution(() => subject)
+    const attribution = new FailureAttribution(() => subject)
     for (const [endpointId, { clock, health }] of [['first', first], ['second', second]] as const) {
       const beganAtMs = clock.nowMs()
       await clock.advance(1)
-      account.note(endpointId, health, beganAtMs, 500)
+      attribution.note(endpointId, health, beganAtMs, 500)
     }
-    t.is(account.failuresCount, 2)
-    t.is(account.endpointsCount, 2)
+    t.is(attribution.failuresCount, 2)
+    t.is(attribution.endpointsCount, 2)
   }
   t.deepEqual([...first.ejectionsMs, ...second.ejectionsMs], [])
 })
--- a/tests/fleet/fleetTime.test.ts
+++ b/tests/fleet/fleetTime.test.ts
@@ -33,14 +33,14 @@
 
 interface ControlHost {
   clock: HostClock
-  heard: HostClocks
+  hostClocks: HostClocks
   tally: UsageTally
 }
 
 /** Its time of day is correct at first. */
 function controlHost (clock: HostClock): ControlHost {
   clock.shiftTimeOfDay(-clock.wallMs())
-  return { clock, heard: new HostClocks(clock), tally: new UsageTally() }
+  return { clock, hostClocks: new HostClocks(clock), tally: new UsageTally() }
 }
 
 interface CountingHost {
@@ -55,10 +55,10 @@
 
 /** Calls each control host once and processes the answers. */
 function followOnce ({ id, own, time, counter }: CountingHost, controls: ControlHost[]): void {
-  for (const [position, { heard, tally }] of controls.entries()) {
-    heard.record(id, own.wallMs() - ONE_WAY_MS)
+  for (const [position, { hostClocks, tally }] of controls.entries()) {
+    hostClocks.record(id, own.wallMs() - ONE_WAY_MS)
     tally.addReport(id, counter.reportSince(0).report)
-    time.addSample(String(position), { fleetWallMs: heard.wallMs() - ONE_WAY_MS, calledAtMs: own.nowMs() - 2 * ONE_WAY_MS, answeredAtMs: own.nowMs() })
+    time.addSample(String(position), { fleetWallMs: hostClocks.wallMs() - ONE_WAY_MS, calledAtMs: own.nowMs() - 2 * ONE_WAY_MS, answeredAtMs: own.nowMs() })
   }
 }
 
--- a/tests/platform/endpointClient.test.ts
+++ b/tests/platform/endpointClient.test.ts
@@ -203,8 +203,8 @@
     if (number === 1) socket.write(completeResponse(attemptId))
     else socket.write('HTTP/1.1 503 Busy\r\nx-threaddrum-not-executed: 1\r\ncontent-length: 0\r\n\r\n')
   }, async raw => {
-    const listener = { onHead: () => {}, onData: async () => 'not the next event' }
-    t.deepEqual(await client.stream(streamRequest(raw.endpoint), new Scope('test'), listener), { kind: 'broken', reason: 'not the next event' })
-    t.like(await client.stream(streamRequest(raw.endpoint), new Scope('test'), listener), { kind: 'notExecuted', status: 503 })
+    const handler = { onHead: () => {}, onData: async () => 'not the next event' }
+    t.deepEqual(await client.stream(streamRequest(raw.endpoint), new Scope('test'), handler), { kind: 'broken', reason: 'not the next event' })
+    t.like(await client.stream(streamRequest(raw.endpoint), new Scope('test'), handler), { kind: 'notExecuted', status: 503 })
   })
 })
--- a/tests/platform/infrastructureClient.test.ts
+++ b/tests/platform/infrastructureClient.test.ts
@@ -38,10 +38,10 @@
     server.closeAllConnections()
   })
   const infrastructure = new PlatformInfrastructure(`${host}:${port}`, systemClock)
-  const standing = { holder: 'edge-1', fencingNumber: 12 }
+  const dutyHolder = { holder: 'edge-1', fencingNumber: 12 }
   return {
     received,
-    call: async (call, mayAct = () => true, waitMs = WAIT_MS) => await infrastructure.call(call, standing, mayAct, systemClock.nowMs() + waitMs, new Scope('test'))
+    call: async (call, mayAct = () => true, waitMs = WAIT_MS) => await infrastructure.call(call, dutyHolder, mayAct, systemClock.nowMs() + waitMs, new Scope('test'))
   }
 }
 
--- a/tests/processes/crashes.test.ts
+++ b/tests/processes/crashes.test.ts
@@ -38,7 +38,7 @@
   const system = await ProcessSystem.start(t, { engine: { meanTokensCount: 400 } })
   system.local.startTrainer(TRAINER)
   const streams = system.local.entryAddresses.map(host => system.openStream(host, `through ${host}`, STREAM_TOKENS))
-  await Promise.all(streams.map(async ({ started: begun }) => await begun))
+  await Promise.all(streams.map(async ({ started }) => await started))
   await waitForFinishedSamples(system)
   await system.engines[0]!.stop('SIGKILL')
   for (const { read } of streams) t.like(await read, { isWhole: true, misplacedCount: 0 })
--- a/tests/processes/plannedStop.test.ts
+++ b/tests/processes/plannedStop.test.ts
@@ -20,7 +20,7 @@
         streams.push(system.openStream(host, `${stoppedProcess.name} ${index}`, STREAM_TOKENS))
       }
     }
-    await Promise.all(streams.map(async ({ started: begun }) => await begun))
+    await Promise.all(streams.map(async ({ started }) => await started))
     const calls = system.service?.end ? [] : await startCalls(system, `/cards/${stoppedProcess.name}`)
     const end = stoppedProcess.stop()
     for (const stream of await Promise.all(streams.map(async ({ read }) => await read))) {
