--- a/src/accounts/accountTable.ts
+++ b/src/accounts/accountTable.ts
@@ -18,7 +18,7 @@
     }
   }
 
-  /** The account that the key with this digest belongs to; undefined when there is none. */
+  /** The account that the key with this digest belongs to; undefined when there is no such account. */
   holderOf (digest: string): ClientAccount | undefined {
     return this._byShortDigest.get(shortDigest(digest))?.find(key => isSameDigest(key.digest, digest))?.account
   }
--- a/src/accounts/admission.ts
+++ b/src/accounts/admission.ts
@@ -3,15 +3,15 @@
  * submissions and calls about batches. Pure functions; keys are given as digests.
  *
  * A key that this host does not know may have been added while the host was
- * disconnected from the control hosts. Only a connected host refuses it
+ * disconnected from the control hosts. Only a connected host refuses such a key
  * definitively; any other host answers that the caller may retry, so that nobody
  * discards a valid key. The control hosts are not queried for unknown keys: a flood
- * of them affects only the host that receives it.
+ * of unknown keys affects only the host that receives it.
  */
 import type { AccountTable } from './accountTable.js'
 
 export interface KeyPolicy {
-  /** Whether a disconnected host stops admitting keys, as any of them may have been revoked. */
+  /** Whether a disconnected host stops admitting keys, as any key may have been revoked. */
   isRevocationStrict: boolean
   /** How long a disconnected host still admits the keys that it knows, if revocation is strict. */
   revokeMs: number
--- a/src/accounts/strideScheduler.ts
+++ b/src/accounts/strideScheduler.ts
@@ -1,7 +1,7 @@
 /**
  * Chooses which of several waiting priorities is served next (stride scheduling;
  * Waldspurger and Weihl, 1995). More urgent priorities are served more often, and
- * each in proportion to its number of waiting requests, so that no priority is
+ * each priority in proportion to its number of waiting requests, so that no priority is
  * starved however many urgent requests there are. With a single priority the order
  * is unaffected.
  */
--- a/src/duties/dutyLease.ts
+++ b/src/duties/dutyLease.ts
@@ -42,7 +42,7 @@
     return this._options.leadership.term
   }
 
-  /** Whether no other host can have acted recently, so that this one may claim the duty; it may act once the claim is committed. */
+  /** Whether no other host can have acted recently, so that this host may claim the duty; it may act once the claim is committed. */
   get mayClaim (): boolean {
     const { clock, leaseMs } = this._options
     if (!this._isLeading()) return false
--- a/src/duties/infrastructure.ts
+++ b/src/duties/infrastructure.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to the infrastructure that only one host at a time may make, and their
- * outcomes. The state of the infrastructure cannot be read back: a call without a
+ * Calls to the infrastructure that only one host at a time may make, and the outcomes
+ * of these calls. The state of the infrastructure cannot be read back: a call without a
  * definite answer may have been executed, or may be executed later.
  */
 import type { Scope } from '../utils/scope.js'
--- a/src/duties/usageCounter.ts
+++ b/src/duties/usageCounter.ts
@@ -1,7 +1,7 @@
 /**
  * Counts the requests that this host forwarded and an endpoint started, by client
  * account and time window. Reports contain totals since the start of the process,
- * so that a duplicate report changes nothing and a lost one is made up by the next.
+ * so that a duplicate report changes nothing, and the next report makes up for a lost one.
  */
 import type { UsageReport } from '../protocol/usage.js'
 import type { Clock } from '../utils/clock.js'
@@ -21,7 +21,7 @@
 
 /** A request that was received and has not ended yet. */
 export interface OpenRequest {
-  /** Records that an endpoint has started the request, which was sent there at `sentAtMs`. */
+  /** Records that an endpoint has started the request, which was sent to the endpoint at `sentAtMs`. */
   began: (sentAtMs: number) => void
   /** Records that the request has ended. */
   ended: () => void
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Returns the counts that have changed since a revision, and the revision that they lead to. */
+  /** Returns the counts that have changed since a revision, and the revision that includes these changes. */
   reportSince (revision: number): { revision: number, report: UsageReport } {
     const windows = [...this._windows].filter(([, window]) => window.revision > revision)
     return {
--- a/src/duties/usageLedger.ts
+++ b/src/duties/usageLedger.ts
@@ -1,6 +1,6 @@
 /**
  * The part of the replicated state that holds the usage to be reported. Windows
- * are closed in order and only once; after that the content of a window never
+ * are closed in order and only once; once closed, the content of a window never
  * changes, whichever host reports it and however often.
  */
 import { UsageCommandKind, type UsageCommand, type UsageResult } from '../protocol/usage.js'
@@ -51,7 +51,7 @@
     this._unreported = unreported
   }
 
-  /** Closes a window; one that is already closed stays unchanged. */
+  /** Closes a window; a window that is already closed stays unchanged. */
   private _close (window: UsageWindow): void {
     if (this.nextWindowId !== undefined && window.windowId < this.nextWindowId) return
     this.nextWindowId = window.windowId + 1
--- a/src/duties/usageReporting.ts
+++ b/src/duties/usageReporting.ts
@@ -1,7 +1,7 @@
 /**
  * Reports the usage of each window while this host leads: closes a window in the
- * replicated log once all hosts have reported their counts or half of the time
- * until its due date has passed, and sends closed windows until the infrastructure
+ * replicated log once all hosts have reported their counts, or once half of the time
+ * until the report is due has passed; sends closed windows until the infrastructure
  * has accepted them.
  */
 import { sleepUntil, type Clock } from '../utils/clock.js'
@@ -23,7 +23,7 @@
 const CALL_TIMEOUT_MS = 1_500
 const RETRY_PAUSE_MS = 300
 const MAX_RETRY_PAUSE_MS = 2_000
-/** Share of the time between the end of a window and its due date after which missing counts of hosts are no longer waited for. */
+/** Share of the time between the end of a window and the due date of its report after which missing counts of hosts are no longer waited for. */
 const WAIT_LIMIT_SHARE = 0.5
 /** After a long time without a leader, older windows, which nobody needs any more, are skipped. */
 const MAX_BACKLOG_COUNT = 720
@@ -59,7 +59,7 @@
     this._options = options
   }
 
-  /** Runs until the scope closes, which is as long as this host leads. */
+  /** Runs until the scope closes: as long as this host leads. */
   async run (scope: Scope): Promise<void> {
     const { clock } = this._options
     for (;;) {
--- a/src/duties/usageTally.ts
+++ b/src/duties/usageTally.ts
@@ -11,7 +11,7 @@
 }
 
 export class UsageTally {
-  /** By host, then by incarnation. */
+  /** Reported counts, by host, then by incarnation. */
   private readonly _reported = new Map<string, Map<string, ReportedUsage>>()
   private _discardedBefore = Number.NEGATIVE_INFINITY
 
@@ -22,7 +22,7 @@
     for (const { windowId, counts } of windows) {
       if (windowId >= this._discardedBefore) reported.windows.set(windowId, counts)
     }
-    // Reinserted to be last: the incarnation that reported last is the running one.
+    // Reinserted to be last: the incarnation that reported last is the running incarnation.
     starts.delete(incarnation)
     starts.set(incarnation, reported)
     this._reported.set(hostId, starts)
--- a/src/duties/usageWindows.ts
+++ b/src/duties/usageWindows.ts
@@ -1,5 +1,5 @@
 /**
- * Time windows in which usage is counted. They are numbered from the start of 1970
+ * Time windows in which usage is counted. Windows are numbered from the start of 1970
  * and are the same for all hosts, regardless of their clocks.
  */
 export interface UsageWindow {
--- a/src/endpoints/circuitBreaker.ts
+++ b/src/endpoints/circuitBreaker.ts
@@ -1,17 +1,17 @@
 /**
  * Circuit breaker for one kind of failure of an endpoint. Requests that were in
  * flight when a failure was recorded fail by the same disturbance, however many
- * there are: only a request that was started later counts as a further failure. The
+ * requests there are: only a request that was started later counts as a further failure. The
  * ejection is short at first and doubles with each further failure up to a bound;
- * after it, a single request probes the endpoint (half-open).
+ * after the ejection, a single request probes the endpoint (half-open).
  */
 import type { Clock } from '../utils/clock.js'
 
 /** Long enough for connections that were reset together to be re-established. */
 export const FIRST_EJECTION_MS = 100
-/** Longest time that a recovered endpoint gets no requests, and the interval at which one that still fails costs a request its time. */
+/** Longest time that a recovered endpoint gets no requests, and the interval at which an endpoint that still fails delays one request. */
 export const MAX_EJECTION_MS = 1_600
-/** A probe without an outcome after this time no longer blocks the next one. */
+/** A probe without an outcome after this time no longer blocks the next probe. */
 export const PROBE_TIMEOUT_MS = 1_000
 
 export class CircuitBreaker {
@@ -79,7 +79,7 @@
     if (this.isHalfOpen) this._probeUntilMs = this._clock.nowMs() + PROBE_TIMEOUT_MS
   }
 
-  /** Records a success: takes back one failure; returns true when it was the last one. */
+  /** Records a success: takes back one failure; returns true when no failure is left. */
   recordSuccess (): boolean {
     if (this._failuresCount === 0) return false
     if (this._failuresCount === 1) return this.reset()
--- a/src/endpoints/endpointClient.ts
+++ b/src/endpoints/endpointClient.ts
@@ -1,6 +1,6 @@
 /**
  * The protocol-independent client interface to endpoints. An adapter implements
- * it; every outcome must state reliably whether the endpoint ran the call.
+ * this interface; every outcome must state reliably whether the endpoint ran the call.
  */
 import type { FleetEndpoint } from '../protocol/fleet.js'
 import type { NamedWeights } from '../protocol/routingCommands.js'
@@ -85,12 +85,12 @@
   | EndpointOutcome
 
 export interface StreamedRequest extends EndpointRequest {
-  /** Id of the last event received so far; the endpoint continues after it. */
+  /** Id of the last event received so far; the endpoint continues after this event. */
   afterEventId: number | undefined
 }
 
 export interface ItemRequest extends Omit<EndpointRequest, 'method'> {
-  /** Id of the last event received so far; the endpoint continues after it. */
+  /** Id of the last event received so far; the endpoint continues after this event. */
   afterEventId: number | undefined
 }
 
@@ -117,17 +117,17 @@
 
 export interface EndpointReport {
   isBusy: boolean
-  /** Load orders that the endpoint has accepted since its start. */
+  /** Number of weight load orders that the endpoint has accepted since its start. */
   ordersCount: number
   weights: NamedWeights[]
 }
 
 export enum LoadMode {
-  /** Runs finish before the new version is loaded. */
+  /** Running items finish before the new version is loaded. */
   Block = 'block',
-  /** Runs are cut short. */
+  /** Running items are cut short. */
   Truncate = 'truncate',
-  /** Runs continue with the new version. */
+  /** Running items continue with the new version. */
   Retain = 'retain'
 }
 
@@ -135,7 +135,7 @@
   model: string
   version: number
   mode: LoadMode
-  /** The host that sends the orders. */
+  /** The host that sends the weight load orders. */
   holder: string
   /** Increases with every host that takes over sending orders. */
   fencingNumber: number
--- a/src/endpoints/endpointHealth.ts
+++ b/src/endpoints/endpointHealth.ts
@@ -1,6 +1,6 @@
 /**
- * Health of one endpoint as observed by the calls of this host: how many run,
- * how long they take, the load that the endpoint reported, and whether it is ejected.
+ * Health of one endpoint as observed by the calls of this host: how many calls run,
+ * how long calls take, the load that the endpoint reported, and whether it is ejected.
  */
 import type { Clock } from '../utils/clock.js'
 import type { ReportedLoad } from './endpointClient.js'
@@ -25,9 +25,9 @@
   Unreached = 'unreached',
   /** A running request broke, or sent no event. */
   Broken = 'broken',
-  /** It did not report its state in time. */
+  /** The endpoint did not report its state in time. */
   NoReport = 'no_report',
-  /** It answers requests with errors, or does not start them, while the requests themselves are not to blame. */
+  /** The endpoint answers requests with errors, or does not start them, while the requests themselves are not to blame. */
   Failing = 'failing'
 }
 
@@ -48,7 +48,7 @@
   private readonly _connectionBreaker: CircuitBreaker
   /** Counts requests that the endpoint received and failed. */
   private readonly _errorBreaker: CircuitBreaker
-  /** Requests that the endpoint failed since it last accepted one. */
+  /** Requests that the endpoint failed since it last accepted a request. */
   private readonly _requestErrors = new Set<string>()
   private _fullUntilMs = Number.NEGATIVE_INFINITY
   private _refusedUntilMs = Number.NEGATIVE_INFINITY
@@ -64,13 +64,13 @@
     this._errorBreaker = new CircuitBreaker(options.clock)
   }
 
-  /** It gets no requests: it has just failed, or it failed repeatedly while other endpoints did not. */
+  /** The endpoint gets no requests: it has just failed, or it failed repeatedly while other endpoints did not. */
   get isSuspect (): boolean {
     if (!this.isBreakerOpen) return false
     return this._breakers().some(({ isTripped, isPastFirstEjection }) => isTripped && !isPastFirstEjection) || this._options.isWidespread?.() !== true
   }
 
-  /** Whether its own failures would eject it, regardless of the other endpoints of the service. */
+  /** Whether the endpoint's own failures would eject it, regardless of the other endpoints of the service. */
   get isBreakerOpen (): boolean {
     return this._connectionBreaker.isTripped || this._errorBreaker.isTripped
   }
@@ -80,12 +80,12 @@
     return this._connectionBreaker.failuresCount + this._errorBreaker.failuresCount > 0 && !this.isSuspect
   }
 
-  /** It was ejected for failing requests and has not accepted enough of them since. */
+  /** The endpoint was ejected for failing requests and has not accepted enough requests since. */
   get isFailing (): boolean {
     return this._errorBreaker.failuresCount > 0
   }
 
-  /** Whether its failures allow another request to be started there. */
+  /** Whether the endpoint's failures so far still allow another request to be sent to it. */
   get isAvailable (): boolean {
     return !this._connectionBreaker.isProbeRunning && !this._errorBreaker.isProbeRunning && !this.isSuspect
   }
@@ -94,7 +94,7 @@
     return this._clock.nowMs() < this._fullUntilMs
   }
 
-  /** Its address has just refused a connection. */
+  /** The endpoint's address has just refused a connection. */
   get isRefusing (): boolean {
     return this._clock.nowMs() < this._refusedUntilMs
   }
@@ -103,7 +103,7 @@
     return Math.max(this._connectionBreaker.openUntilMs, this._errorBreaker.openUntilMs)
   }
 
-  /** Mean duration of recent calls; undefined when there were none recently. */
+  /** Mean duration of recent calls; undefined when there were no recent calls. */
   get meanMs (): number | undefined {
     return this._clock.nowMs() - this._meanAtMs < MEAN_LIFETIME_MS ? this._meanMs : undefined
   }
@@ -159,14 +159,14 @@
     this._evaluateErrors(startedAtMs)
   }
 
-  /** Records that another endpoint served a request which this one had failed: that error counts twice, unless this endpoint has accepted a request since. */
+  /** Records that another endpoint served a request which this endpoint had failed: the failure counts twice, unless this endpoint has accepted a request since. */
   servedElsewhere (requestKey: string): void {
     if (this._errorBreaker.isTripped) return
     this._requestErrors.add(`${requestKey}, served elsewhere`)
     this._evaluateErrors(this._clock.nowMs())
   }
 
-  /** Records that another endpoint failed the same request as well: the request itself is at fault, and its error no longer counts. */
+  /** Records that another endpoint failed the same request as well: the request itself is at fault, and this endpoint's failure of it no longer counts. */
   failedElsewhere (requestKey: string): void {
     this._requestErrors.delete(requestKey)
   }
@@ -195,13 +195,13 @@
     if (forMs !== undefined) this._options.onEjected?.(reason, forMs, this._connectionBreaker.failuresCount)
   }
 
-  /** Records that its address refused a connection. */
+  /** Records that the endpoint's address refused a connection. */
   refusedConnection (startedAtMs: number): void {
     this.failed(FailureReason.Unreached, startedAtMs)
     this._refusedUntilMs = this._clock.nowMs() + REFUSED_PAUSE_MS
   }
 
-  /** Records that it rejected a request because no slot was free. */
+  /** Records that the endpoint rejected a request because no slot was free. */
   rejectedAsFull (load: ReportedLoad | undefined): void {
     this._fullUntilMs = this._clock.nowMs() + FULL_PAUSE_MS
     this.recordLoad(load)
--- a/src/endpoints/endpointPool.ts
+++ b/src/endpoints/endpointPool.ts
@@ -1,7 +1,7 @@
 /**
  * Holds the health of the endpoints of all services and chooses among them: the
  * endpoint that is expected to finish a request first, based on the requests
- * that are there and the duration of recent ones.
+ * that run or wait there and on the duration of recent requests.
  */
 import type { FleetEndpoint } from '../protocol/fleet.js'
 import type { FleetView } from '../fleet/fleetView.js'
@@ -84,8 +84,8 @@
 
   /**
    * Chooses the endpoint to try next.
-   * @param tried endpoints that were already tried; chosen only if there is no other
-   * @param risky endpoints that may terminate soon; chosen only if no other untried one is left
+   * @param tried endpoints that were already tried; chosen only if there is no other endpoint
+   * @param risky endpoints that may terminate soon; chosen only if no other untried endpoint is left
    */
   choose (service: string, tried: ReadonlySet<string>, risky: ReadonlySet<string> = NO_ENDPOINT_IDS): FleetEndpoint | undefined {
     const all = this.ofService(service).filter(({ endpointId }) => !this.health(endpointId).isFull)
--- a/src/endpoints/failureAttribution.ts
+++ b/src/endpoints/failureAttribution.ts
@@ -1,8 +1,8 @@
 /**
- * Attributes the failures of one request to its endpoints or to itself. An error
- * may be caused by the endpoint (all requests fail there) or by the request (it
+ * Attributes the failures of one request to endpoints or to the request itself. An error
+ * may be caused by the endpoint (all requests fail there) or by the request (which
  * fails everywhere): the first endpoint that fails is suspected, cleared once
- * another one fails the same request, and charged once more if another one serves it.
+ * another endpoint fails the same request, and charged once more if another endpoint serves it.
  */
 import type { EndpointHealth } from './endpointHealth.js'
 
@@ -41,7 +41,7 @@
     this.notStarted(endpointId, health, startedAtMs)
   }
 
-  /** Records that an endpoint accepted the request and did not start it: not an error answer, but it counts the same for the choice of an endpoint. */
+  /** Records that an endpoint accepted the request and did not start it: not an error answer, but counted like one for the choice of an endpoint. */
   notStarted (endpointId: string, health: EndpointHealth, startedAtMs: number): void {
     const requestKey = this._requestKeyOf()
     const isFirst = this._failedAt.size === 0
--- a/src/engineSupply/engineSupply.ts
+++ b/src/engineSupply/engineSupply.ts
@@ -18,11 +18,11 @@
 
 const CHECK_INTERVAL_MS = 250
 const CALL_TIMEOUT_MS = 1_500
-/** Calls to the infrastructure are limited, and each has a cost. */
+/** Calls to the infrastructure are limited, and each call has a cost. */
 const RETRY_PAUSE_MS = 1_000
 /** Pause before engines are ordered again in a data centre without capacity. */
 const OUT_OF_CAPACITY_PAUSE_MS = 5_000
-/** Minimum time before an order is reduced: lost engines may come back and go again, and starting one takes seconds. */
+/** Minimum time before an order is reduced: lost engines may come back and go again, and starting an engine takes seconds. */
 const MIN_HOLD_MS = 15_000
 /** Engines that are missing this long after their boot time are ordered again. */
 const OVERDUE_GRACE_MS = 3_000
@@ -40,9 +40,9 @@
   /** All known endpoints of a service, whether they accept new work or not. */
   endpointsOf: (service: string) => readonly FleetEndpoint[]
   needOf: (service: RoutingService) => SupplyNeed
-  /** Commits that this host holds the duty; true once every future leader will know it. */
+  /** Commits the claim of this host to the duty; true once every future leader will know the claim. */
   claim: (scope: Scope) => Promise<boolean>
-  /** Commits an order; true once every future leader will know it. */
+  /** Commits an order; true once every future leader will know the order. */
   note: (order: SupplyOrder, scope: Scope) => Promise<boolean>
 }
 
@@ -64,7 +64,7 @@
     this._options = options
   }
 
-  /** Runs until the scope closes, which is as long as this host leads. */
+  /** Runs until the scope closes: as long as this host leads. */
   async run (scope: Scope): Promise<void> {
     const { clock } = this._options
     for (;;) {
--- a/src/engineSupply/supplyPlan.ts
+++ b/src/engineSupply/supplyPlan.ts
@@ -1,13 +1,13 @@
 /**
  * Plans how many engines a service should have in each data centre, and how many
- * of them are reclaimable. The number of permanent engines stays as ordered: they can
+ * of these are reclaimable. The number of permanent engines stays as ordered: these can
  * carry the steps alone. Reclaimable engines, which a data centre may take back all at
- * once, replace missing ones as far as the open work can use them, spread so that
+ * once, replace missing engines as far as the open work can use them, spread so that
  * each data centre accounts for the smallest possible share. Pure functions.
  *
- * It covers engines that crash, are reclaimed or leave in the middle of a step. The
- * total is limited to what the leader of the batch store can read events of: with
- * more engines it loses its leadership, and every run is started again.
+ * The plan covers engines that crash, are reclaimed or leave in the middle of a step. The
+ * total is limited to the engines whose events the leader of the batch store can read: with
+ * more engines this leader loses its leadership, and every run is started again.
  */
 import type { ServiceScaling } from '../protocol/routing.js'
 
--- a/src/fleet/controlCommands.ts
+++ b/src/fleet/controlCommands.ts
@@ -1,6 +1,6 @@
 /**
  * Submits commands to the leader of the control hosts, on behalf of a host that
- * follows them.
+ * follows the control hosts.
  */
 import type { SubmitReply } from '../protocol/controlMessages.js'
 import type { RoutingCommand } from '../protocol/routingCommands.js'
--- a/src/fleet/fleetFollower.ts
+++ b/src/fleet/fleetFollower.ts
@@ -1,6 +1,6 @@
 /**
  * Follows all control hosts at the same time, with one task and one connection
- * each. Updates of all of them are merged into the view, so that a single control
+ * each. Updates of all control hosts are merged into the view, so that a single control
  * host that is disconnected, slow or outdated does not delay this host.
  */
 import type { FleetHost, FleetUpdate, FollowReply } from '../protocol/fleet.js'
@@ -23,8 +23,8 @@
 /** Three calls fit into the time after which a control host considers a follower silent. */
 const FOLLOW_INTERVAL_MS = 500
 /**
- * The interval while only a configuration is known that no quorum has confirmed: the host serves nothing until one
- * has. A control host holds such a call for up to 350 ms until it can confirm, so that a follower makes no more than
+ * The interval while only a configuration is known that no quorum has confirmed: the host serves nothing until a quorum
+ * has confirmed one. A control host delays its reply to such a call for up to 350 ms until it can confirm, so that a follower makes no more than
  * about three calls a second. With the usual interval, each call that just missed the election of the leader would
  * cost another 150 ms.
  */
@@ -36,10 +36,10 @@
 const MAX_UNANSWERED_COUNT = 2
 /**
  * Time within which a follower whose calls are answered by a majority of the control
- * hosts knows of a confirmed leave, even if every push of it is lost: a majority has
- * the leave in its log, and the follower reaches at least one of these hosts. That
- * host applies it (20 ms after the commit, or 150 ms with the next heartbeat of the
- * log), and the reply to the next call carries it.
+ * hosts knows of a confirmed departure, even if every push of it is lost: a majority has
+ * the departure in its log, and the follower reaches at least one of these hosts. That
+ * host applies the departure (20 ms after the commit, or 150 ms with the next heartbeat of the
+ * log), and the reply to the next call contains the departure.
  */
 export const LEAVE_KNOWN_WITHIN_MS = 150 + FOLLOW_INTERVAL_MS + FOLLOW_TIMEOUT_MS
 /** A host that has waited this long for a confirmed routing configuration accepts an unconfirmed one: without a quorum, none will be confirmed. */
@@ -55,11 +55,11 @@
   view: FleetView
   /** Addresses of the control hosts from the settings. */
   seedAddresses: string[]
-  /** Configured bound for leaving endpoints: they get no requests later than this after their leave was confirmed. */
+  /** Configured bound for leaving endpoints: they get no requests later than this after their departure was confirmed. */
   drainMs?: number
   /** Returns the current description of this host. */
   describe: () => FleetHost
-  /** Source of the usage of client accounts, if this host counts it: all counts that changed since a revision. */
+  /** Source of the usage of client accounts, if this host counts usage: all counts that changed since a revision. */
   usage?: { reportSince: (revision: number) => { revision: number, report: UsageReport } } | undefined
   onFatal: (error: unknown) => void
 }
@@ -68,7 +68,7 @@
   scope: Scope
   /** When the control host was last in a list of members. */
   lastListedAtMs: number
-  /** The control hosts that it listed in its latest reply with a list. */
+  /** The control hosts that this control host listed in its latest reply with a list. */
   listedAddresses: string[]
   /** When the latest answered call was made. */
   lastAnsweredCallAtMs: number
@@ -152,7 +152,7 @@
   private async _followOver (peer: RpcPeer, address: string, scope: Scope): Promise<void> {
     const { clock } = this._options
     let unansweredCount = 0
-    /** The description of this host in the last call, if that was answered. Otherwise it is sent again, and the control host replies with its complete state. */
+    /** The description of this host in the last call, if that call was answered. Otherwise the description is sent again, and the control host replies with its complete state. */
     let sentDescription = ''
     const usage: SentUsage = { revision: 0, settledBefore: Number.NEGATIVE_INFINITY }
     while (!peer.connection.scope.isClosed && unansweredCount < MAX_UNANSWERED_COUNT) {
@@ -206,7 +206,7 @@
     this._removeUnlistedAddresses()
   }
 
-  /** The first routing configuration must be confirmed by a quorum; later ones replace it only if they are newer. */
+  /** The first routing configuration must be confirmed by a quorum; later configurations replace it only if they are newer. */
   private _merge (address: string, update: FleetUpdate, isRoutingConfirmed: boolean): void {
     const { view, clock, logger } = this._options
     const isFirst = view.routing === undefined
--- a/src/fleet/fleetHostSettings.ts
+++ b/src/fleet/fleetHostSettings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of a process of the fleet, in TOML: where it runs, where it listens,
+ * Settings of a process of the fleet, in TOML: where the process runs, where it listens,
  * the seed control hosts, and the bounds of the deployment. The ports on which the
  * processes of the system reach each other are the same on all hosts and are
  * derived from the first port of a range.
@@ -50,16 +50,16 @@
     maxAdviceAgeS: z.number().positive().default(5),
     /** An endpoint that leaves gets no new requests after this time. */
     drainMs: z.number().positive().default(2_000),
-    /** Whether a host that is disconnected from the control hosts stops admitting keys, as any of them may have been revoked. */
+    /** Whether a host that is disconnected from the control hosts stops admitting keys, as any key may have been revoked. */
     isRevocationStrict: z.boolean().default(false),
-    /** How long such a host still admits the keys that it knows. */
+    /** How long a disconnected host still admits the keys that it knows. */
     revokeMs: z.number().min(0).default(5_000),
     /** Length of the windows for which usage is reported. */
     usageWindowS: z.number().positive().default(5),
     /** Time after the end of a window at which its report is due. */
     usageLateS: z.number().positive().default(10)
   }),
-  /** The infrastructure that receives the calls of duties, which one host at a time performs; absent where there is none. */
+  /** The infrastructure that receives the calls of duties, which one host at a time performs; absent where there is no infrastructure. */
   infrastructure: z.strictObject({
     address: addressSchema,
     /** Names of the duties in the deployment. */
--- a/src/fleet/fleetTime.ts
+++ b/src/fleet/fleetTime.ts
@@ -27,7 +27,7 @@
 
 export class FleetTime {
   private readonly _clock: Clock
-  /** By the address of the control host that reported them. */
+  /** Time samples, by the address of the control host that reported them. */
   private readonly _samples = new Map<string, Sample[]>()
 
   constructor (clock: Clock) {
--- a/src/fleet/fleetView.ts
+++ b/src/fleet/fleetView.ts
@@ -25,11 +25,11 @@
   private readonly _logger: Logger
   private readonly _endpoints = new Map<string, FleetEndpoint>()
   private readonly _removedIds = new Set<string>()
-  /** Includes leaves of endpoints that are unknown here: an outdated control host must not bring them back. */
+  /** Includes departures of endpoints that are unknown here: an outdated control host must not bring such endpoints back. */
   private readonly _leaves = new KnownLeaves()
   /** The newest known incarnation, by the name of the endpoint. */
   private readonly _newestIncarnations = new Map<string, FleetEndpoint>()
-  /** Hosts by the address of the control host that reported them, and by their id. */
+  /** Hosts, by the address of the control host that reported them and then by the id of the host. */
   private readonly _hosts = new Map<string, Map<string, FleetHost>>()
   /** Cached merge of `_hosts`; computed on first use after a change. */
   private _merged: FleetHost[] | undefined
@@ -104,7 +104,7 @@
     this._notify()
   }
 
-  /** Drops the hosts that a control host reported, as it is no longer connected. */
+  /** Drops the hosts that a control host reported, as this control host is no longer connected. */
   removeHostsOf (controlAddress: string): void {
     if (!this._hosts.delete(controlAddress)) return
     this._merged = undefined
@@ -112,7 +112,7 @@
     this._notify()
   }
 
-  /** Removes an endpoint whose address another one has taken over. */
+  /** Removes an endpoint whose address another endpoint has taken over. */
   markRemoved (endpointId: string): void {
     const known = this._endpoints.get(endpointId)
     if (known) this._mergeEndpoint({ ...known, lifecycle: EndpointLifecycle.Removed })
@@ -130,7 +130,7 @@
     this.changed.notify()
   }
 
-  /** Leaves are applied first, so that an endpoint that has left is not used even for a moment. */
+  /** Departures are applied first, so that an endpoint that has left is not used even for a moment. */
   private _updateEndpoints ({ leaves = [], endpoints = [], silent = [] }: FleetUpdate): void {
     for (const leave of leaves) this._applyLeave(leave)
     for (const endpoint of endpoints) this._mergeEndpoint(endpoint)
@@ -209,7 +209,7 @@
     dropOldest(this._removedIds)
   }
 
-  /** Removes an endpoint that sends no heartbeats, unless another control host has received a newer one. */
+  /** Removes an endpoint that sends no heartbeats, unless another control host has received a newer heartbeat. */
   private _removeSilent (endpointId: string, sequence: number): void {
     const known = this._endpoints.get(endpointId)
     if (!known || known.sequence > sequence) return
--- a/src/fleet/knownQuarantine.ts
+++ b/src/fleet/knownQuarantine.ts
@@ -1,11 +1,11 @@
 /**
  * The notices about quarantined requests that this host has received. Several
- * control hosts send the same notices; of two about one request the newer wins.
+ * control hosts send the same notices; of two notices about one request the newer wins.
  */
 import { LRUCache } from 'lru-cache'
 import { QuarantineVerdict, type QuarantineEntry } from '../protocol/quarantine.js'
 
-/** The same number as a control host keeps. */
+/** Number of notices kept, the same as on a control host. */
 const MAX_NOTICES_COUNT = 512
 
 export class KnownQuarantine {
--- a/src/gateway/failedTry.ts
+++ b/src/gateway/failedTry.ts
@@ -1,5 +1,5 @@
 /**
- * Classifies a try that got no answer and records the failure in the health of
+ * Classifies a try that got no answer, and records the failure in the health of
  * its endpoint. Used for plain and for streamed requests.
  */
 import type { EndpointOutcome } from '../endpoints/endpointClient.js'
@@ -16,7 +16,7 @@
   detail: string
   /** Whether the endpoint may have run the request. */
   mayHaveRun: boolean
-  /** The endpoint only lacked a free slot: it may be tried again after all the others. */
+  /** The endpoint only lacked a free slot: this endpoint may be tried again after all the others. */
   wasFull: boolean
 }
 
--- a/src/gateway/fairWaitQueue.ts
+++ b/src/gateway/fairWaitQueue.ts
@@ -1,7 +1,7 @@
 /**
  * Queues the requests of one host that found every endpoint of their service
- * full, and decides which of them may try again. It is needed when a service gets
- * more requests than it has slots, from accounts of different priorities: if they
+ * full, and decides which requests may try again. The queue is needed when a service gets
+ * more requests than it has slots, from accounts of different priorities: if requests
  * were tried again in any order, an urgent request would be as likely to wait as
  * the others.
  */
@@ -22,7 +22,7 @@
 export class FairWaitQueue {
   private readonly _queues = new Map<string, ServiceQueue>()
 
-  /** Adds a request that found no free slot; one that is queued already keeps its place. */
+  /** Adds a request that found no free slot; a request that is queued already keeps its place. */
   enqueue (entry: QueueEntry): void {
     const queue = this._queues.get(entry.service) ?? { scheduler: new StrideScheduler(), waiting: new Map<number, Set<QueueEntry>>() }
     const samePriority = queue.waiting.get(entry.priority) ?? new Set<QueueEntry>()
--- a/src/gateway/requestForwarder.ts
+++ b/src/gateway/requestForwarder.ts
@@ -1,7 +1,7 @@
 /**
  * Forwards a request to an endpoint of its route's service, and to other
- * endpoints if that fails and the request may run more than once. A second try
- * is started beside the first when that one takes unusually long (hedged
+ * endpoints if that try fails and the request may run more than once. A second try
+ * is started beside the first when the first takes unusually long (hedged
  * requests; Dean and Barroso, "The Tail at Scale", 2013).
  */
 import type { EndpointClient, EndpointOutcome } from '../endpoints/endpointClient.js'
@@ -44,10 +44,10 @@
   account?: string | undefined
   /** 0 is the most urgent. The priority of the account, if it has one, overrides that of the route. */
   priority?: number | undefined
-  /** Called once when an endpoint has started, or may have started, to run the request; gets the time at which it was sent there. */
+  /** Called once when an endpoint has started, or may have started, to run the request; gets the time at which the request was sent to the endpoint. */
   onBegan?: ((sentAtMs: number) => void) | undefined
   progress: Progress
-  /** Keep trying until the deadline: the caller cannot make use of a refusal. */
+  /** Keep trying until the deadline: a refusal would be of no use to the caller. */
   isPersistent?: boolean
 }
 
@@ -158,7 +158,7 @@
     const status = this._options.quarantine.statusOf(this._identity)
     if (status === QuarantineStatus.Condemned) return this._refuseQuarantined()
     const endpoint = this._chooseIfNext()
-    // When every endpoint refuses connections, the request waits for the first one that is back, or for its deadline.
+    // When every endpoint refuses connections, the request waits for the first endpoint that is back, or for the request's deadline.
     if (endpoint && (this._options.pool.isRefusing(endpoint) || !this._options.quarantine.mayStart(status, endpoint))) return undefined
     if (endpoint) {
       this._startTry(endpoint)
@@ -182,7 +182,7 @@
   private _mayHedge (): boolean {
     const { route, progress } = this._request
     const mayRepeat = route.kind !== RouteKind.AtMostOnce && this._ranCount + this._openTriesCount < route.maxAttemptsCount
-    // A request that terminates endpoints would terminate the second one as well.
+    // A request that terminates endpoints would terminate the second endpoint as well.
     if (this._options.quarantine.statusOf(this._identity) !== QuarantineStatus.Free) return false
     return mayRepeat && !progress.isPastDeadline() && this._openTriesCount === 1 && this._hedgeBudget.tryWithdraw()
   }
@@ -253,7 +253,7 @@
           this._options.pool.recordDuration(this._service, durationMs)
         } else {
           this._options.quarantine.answeredWithError(run)
-          // The duration is not recorded: how fast an endpoint fails says nothing about how fast it serves.
+          // The duration is not recorded: how fast an endpoint fails says nothing about how fast it serves requests.
           health.responded()
           health.recordLoad(outcome.load)
           this._failures.note(endpoint.endpointId, health, startedAtMs, outcome.status)
@@ -270,7 +270,7 @@
     this._isStarted = true
   }
 
-  /** The refusal carries no retry delay: the request would be withheld again. */
+  /** The refusal carries no retry delay: a retry would be withheld as well. */
   private _refuseQuarantined (): ForwardOutcome {
     const { attemptId, route } = this._request
     this._options.quarantine.recordWithheld(this._identity, { attemptId, route: route.name })
@@ -283,7 +283,7 @@
       this._ranCount++
       this._notifyStarted(startedAtMs)
     }
-    // A full endpoint may be tried again once all the others were.
+    // A full endpoint may be tried again once all the others were tried.
     if (wasFull) this._tried.delete(endpoint.endpointId)
     this._logFailure(endpoint, reason, detail)
   }
@@ -307,7 +307,7 @@
     return { kind: 'refused', executed, reason, retryAfterMs }
   }
 
-  /** Logs the state of the endpoint that the choice was based on, and its age. */
+  /** Logs the endpoint state that the choice was based on, and the age of this state. */
   private _logTry ({ endpointId, service, sequence }: FleetEndpoint): void {
     const { attemptId, route, progress } = this._request
     const health = this._options.pool.health(endpointId)
--- a/src/gateway/requestPolicy.ts
+++ b/src/gateway/requestPolicy.ts
@@ -2,15 +2,15 @@
  * Decides whether a request that no endpoint has accepted keeps waiting or is
  * refused, and when a second try is started beside the first (hedging). Both
  * decisions use values measured at the service itself: the duration of its
- * requests and the number of waiting ones. Hopeless requests are refused early: a
- * refused caller can go to another host or come back later, whereas one that
+ * requests and the number of waiting requests. Hopeless requests are refused early: a
+ * refused caller can go to another host or come back later, whereas a caller that
  * waits and is refused in the end has lost that time. Pure functions.
  */
 import type { RandomSource } from '../utils/randomSource.js'
 
 /** Estimate of how soon a service can serve a request, based on the answers of its endpoints. */
 export interface ServiceForecast {
-  /** Time until an endpoint has a free slot; 0 when one has. */
+  /** Time until an endpoint has a free slot; 0 when an endpoint has a free slot now. */
   waitMs: number
   /** Typical duration of a request at an endpoint. */
   typicalMs: number
@@ -44,12 +44,12 @@
   return { kind: 'refuse', retryAfterMs: jitteredRetryMs(Math.max(waitMs, waitedMs), random) }
 }
 
-/** Not before a slot should be free, with jitter of up to the same time again, so that callers do not return all at once. */
+/** Retry delay: not before a slot should be free, with jitter of up to the same time again, so that callers do not return all at once. */
 function jitteredRetryMs (waitMs: number, random: RandomSource): number {
   return Math.max(MIN_RETRY_AFTER_MS, waitMs) * (1 + random.real())
 }
 
-/** Number of durations from which on their quantile is meaningful. */
+/** Minimum number of durations for a meaningful quantile. */
 const MIN_DURATIONS_COUNT = 20
 /** A second try is started once this share of requests would have been answered. */
 const HEDGE_QUANTILE = 0.95
--- a/src/gateway/streamForwarder.ts
+++ b/src/gateway/streamForwarder.ts
@@ -245,7 +245,7 @@
       this._ranCount++
       return this._onBroken(endpoint, detail)
     }
-    // A full endpoint may be tried again once all the others were.
+    // A full endpoint may be tried again once all the others were tried.
     if (wasFull) this._tried.delete(endpoint.endpointId)
     return this._logFailure(endpoint, reason, detail)
   }
--- a/src/quarantine/endpointRuns.ts
+++ b/src/quarantine/endpointRuns.ts
@@ -1,8 +1,8 @@
 /**
  * Tracks the requests that this host runs at each endpoint and detects endpoints
- * that terminate meanwhile. A lost connection alone does not prove it: network
+ * that terminate meanwhile. A lost connection alone does not prove a termination: network
  * partitions, resets and drains lose connections as well. An endpoint counts as
- * terminated when its address refuses connections after some were lost there, or
+ * terminated when its address refuses connections after connections to it were lost, or
  * when another incarnation of an endpoint has taken over the address.
  */
 import { LRUCache } from 'lru-cache'
@@ -17,15 +17,15 @@
 /**
  * Times after the loss of a connection at which the address is checked: a process
  * that terminates closes its connections and its listening socket within
- * milliseconds, in any order; one that takes longer is found by the second check.
+ * milliseconds, in any order; a process that takes longer is found by the second check.
  */
 const CHECK_DELAYS_MS = [15, 200]
 const CHECK_TIMEOUT_MS = 500
 /** How long a run with a lost connection is kept, in case the endpoint turns out to have terminated: endpoints are back after some seconds. */
 const LOST_RUN_RETENTION_MS = 3_000
-/** How long an abandoned run is kept, as it may still terminate the endpoint: terminations were seen 50 to 120 ms after the start of a run. */
+/** How long an abandoned run is kept, as the run may still terminate the endpoint: terminations were seen 50 to 120 ms after the start of a run. */
 const ABANDONED_RUN_RETENTION_MS = 300
-/** Recently terminated endpoints that are kept, so that a run whose connection is found lost afterwards is attributed to the termination. */
+/** Number of recently terminated endpoints that are remembered, so that a run whose connection is found lost afterwards is attributed to the termination. */
 const MAX_TERMINATED_IDS_COUNT = 256
 
 enum RunState {
@@ -59,7 +59,7 @@
 
 export class EndpointRuns {
   private readonly _options: EndpointRunsOptions
-  /** Runs by the id of the endpoint. */
+  /** Tracked runs, by the id of the endpoint. */
   private readonly _runs = new Map<string, Set<TrackedRun>>()
   private readonly _terminatedIds = new LRUCache<string, true>({ max: MAX_TERMINATED_IDS_COUNT })
   private readonly _checkedIds = new Set<string>()
@@ -136,7 +136,7 @@
     const { view, onTerminated } = this._options
     const runs = this._closedRuns(endpoint.endpointId)
     for (const run of runs) this._remove(run)
-    // An endpoint that leaves may close connections of requests that it has not finished.
+    // An endpoint that leaves may close connections of requests that the endpoint has not finished.
     if (view.isLeaving(endpoint)) return
     this._terminatedIds.set(endpoint.endpointId, true)
     if (runs.length > 0) onTerminated(endpoint, runs.map(({ identity }) => identity))
@@ -166,7 +166,7 @@
     }
   }
 
-  /** Finds addresses with lost runs that another endpoint has taken over. */
+  /** Among the addresses with lost runs, finds those that another endpoint has taken over. */
   private _findReplacements (): void {
     if (this._lostCount === 0) return
     for (const runs of [...this._runs.values()]) {
--- a/src/quarantine/requestQuarantine.ts
+++ b/src/quarantine/requestQuarantine.ts
@@ -1,7 +1,7 @@
 /**
  * Withholds requests that terminate endpoints (queries of death: a single caller
- * that repeats one makes a service unavailable to everybody). When an endpoint
- * terminates, all requests that ran there become suspects; an answer clears a
+ * that repeats such a request makes a service unavailable to everybody). When an endpoint
+ * terminates, all requests that ran at it become suspects; an answer clears a
  * request at once and on all hosts; three terminations condemn it on all hosts.
  * After two terminations a request is on probation: at most one such request runs
  * at an endpoint, so that the next termination identifies the culprit.
@@ -30,8 +30,8 @@
 const MAX_OWN_SUSPECTS_COUNT = 1_024
 /**
  * How many recent answers are kept, and for how long. A request that was answered
- * recently is not suspected: of a request that many callers send, some are answered
- * within a second or two of a termination during which others ran. A longer retention
+ * recently is not suspected: of a request that many callers send, some instances are answered
+ * within a second or two of a termination during which other instances ran. A longer retention
  * would protect a request that starts to terminate endpoints for that long.
  */
 const MAX_ANSWERED_COUNT = 1_024
@@ -41,9 +41,9 @@
 
 export enum QuarantineStatus {
   Free = 'free',
-  /** An endpoint terminated while running it; other requests avoid the endpoints where it runs. */
+  /** An endpoint terminated while running the request; other requests avoid the endpoints where this request runs. */
   Suspected = 'suspected',
-  /** One more termination condemns it; at most one request on probation runs at an endpoint. */
+  /** One more termination condemns the request; at most one request on probation runs at an endpoint. */
   OnProbation = 'on_probation',
   /** Sent to no endpoint. */
   Condemned = 'condemned'
@@ -75,7 +75,7 @@
   private readonly _ownTerminations = new LRUCache<string, Set<string>>({ max: MAX_OWN_SUSPECTS_COUNT })
   /** By digest, when an endpoint last answered the request. */
   private readonly _answeredAtMs = new LRUCache<string, number>({ max: MAX_ANSWERED_COUNT })
-  /** Number of running requests by endpoint that are suspected or on probation. */
+  /** Number of running requests that are suspected or on probation, by endpoint. */
   private readonly _riskyCounts = new Map<string, number>()
   private readonly _withheldLogFilter: LogThrottle
   /** The running request on probation, by endpoint. */
@@ -106,7 +106,7 @@
     return terminationsCount > 0 ? QuarantineStatus.Suspected : QuarantineStatus.Free
   }
 
-  /** False while this host runs another request on probation there, so that the next termination identifies the culprit. */
+  /** False while this host runs another request on probation at the endpoint, so that the next termination identifies the culprit. */
   mayStart (status: QuarantineStatus, { endpointId }: FleetEndpoint): boolean {
     return status !== QuarantineStatus.OnProbation || !this._probationRuns.has(endpointId)
   }
@@ -129,7 +129,7 @@
     return run
   }
 
-  /** Records an error answer. It does not clear the request: the endpoint may have failed before the part that terminates it. */
+  /** Records an error answer. The error does not clear the request: the endpoint may have failed before it reached the part of the request that would terminate it. */
   answeredWithError (run: QuarantinedRun): void {
     this._release(run)
     this._runs.done(run)
@@ -175,7 +175,7 @@
     logger.event(QuarantineEvent.RequestWithheld, { digest, endpointIds, ...fields })
   }
 
-  /** Terminations that count against a request: those reported by control hosts, and others seen by this host. */
+  /** Terminations that count against a request: those reported by control hosts, and further terminations seen by this host. */
   private _terminationsCount (digest: string): number {
     const notice = this._options.view.quarantine.get(digest)
     const own = this._ownTerminations.get(digest)
@@ -188,7 +188,7 @@
     const isExpired = this._options.clock.wallMs() - notice.endedAtMs > QUARANTINE_MS
     const { length } = notice.endpointIds
     if (notice.verdict === QuarantineVerdict.Condemned) return isExpired && unreportedCount === 0 ? QUARANTINE_THRESHOLD_COUNT - 1 : length
-    // Enough terminations to condemn the request, but it is not condemned: other requests account for them.
+    // Enough terminations to condemn the request, but it is not condemned: other requests account for these terminations.
     return isExpired ? 0 : Math.min(length, QUARANTINE_THRESHOLD_COUNT - 1)
   }
 
--- a/src/quarantine/suspectReports.ts
+++ b/src/quarantine/suspectReports.ts
@@ -1,9 +1,9 @@
 /**
  * Reports to the control hosts which requests ran on terminated endpoints, and
- * which of those were answered after all. When all endpoints of a data centre
+ * which of these requests were answered after all. When all endpoints of a data centre
  * terminate, hundreds of requests are lost at once; nearly all of them are answered
  * by the next endpoint and need no report. A first termination is therefore
- * reported with a delay, and the log of the control hosts gets one entry for the rest.
+ * reported with a delay, and the log of the control hosts gets one entry for the requests that remain.
  */
 import { MAX_DIGESTS_PER_END, MAX_ENDS_PER_REPORT, type EndedEndpoint } from '../protocol/quarantine.js'
 import { RoutingCommandKind, type RoutingCommand } from '../protocol/routingCommands.js'
@@ -25,13 +25,13 @@
 export interface SuspectReportsOptions {
   clock: Clock
   logger: Logger
-  /** Commits a command; resolves with true once a quorum has it, with false when the deadline of `progress` passes first. */
+  /** Commits a command; resolves with true once a quorum has the command, with false when the deadline of `progress` passes first. */
   submit: (command: RoutingCommand, progress: Progress) => Promise<boolean>
 }
 
 export class SuspectReports {
   private readonly _options: SuspectReportsOptions
-  /** Digests of the requests that ran there, by terminated endpoint. */
+  /** Digests of the requests that ran at a terminated endpoint, by the id of the endpoint. */
   private readonly _terminations = new Map<string, Set<string>>()
   private readonly _cleared = new Set<string>()
   private readonly _scheduled = new Signal()
@@ -56,7 +56,7 @@
 
   /**
    * Drops a request that was answered from the pending report.
-   * @param isReported the control hosts may know of a termination, so they are told that the request is cleared
+   * @param isReported the control hosts may know of a termination, so the control hosts are told that the request is cleared
    */
   cleared (digest: string, isReported: boolean): void {
     for (const [endpointId, digests] of this._terminations) {
