--- a/src/duties/infrastructure.ts
+++ b/src/duties/infrastructure.ts
@@ -8,7 +8,7 @@
 export enum DutyKind {
   /** Reports how many requests of each client account were started in a time window. */
   ReportUsage = 'report_usage',
-  /** Orders the desired number of a service's endpoints in one data centre. */
+  /** Sends the desired number of a service's endpoints in one data centre. */
   OrderEndpoints = 'order_endpoints'
 }
 
--- a/src/endpoints/endpointClient.ts
+++ b/src/endpoints/endpointClient.ts
@@ -137,7 +137,7 @@
   mode: LoadMode
   /** The host that sends the weight load orders. */
   holder: string
-  /** Increases with every host that takes over sending orders. */
+  /** Increases with every host that takes over sending these orders. */
   fencingNumber: number
   expectedOrdersCount: number | undefined
 }
--- a/src/engineSupply/supplyLedger.ts
+++ b/src/engineSupply/supplyLedger.ts
@@ -1,6 +1,6 @@
 /**
  * The part of the batch store's state that holds the orders for engines: which
- * host performs the duty, and how many engines of each kind were ordered in each data
+ * host claimed the duty last, and how many engines of each kind were ordered in each data
  * centre. An order is recorded before it is sent, so that the next leader repeats the order
  * unchanged.
  */
--- a/src/fleet/fleetFollower.ts
+++ b/src/fleet/fleetFollower.ts
@@ -185,7 +185,7 @@
     return true
   }
 
-  /** Returns undefined when everything was already sent over the connection. */
+  /** Returns the usage to report; undefined when everything was already sent over the connection. */
   private _usageSince ({ revision, settledBefore }: SentUsage): { revision: number, report: UsageReport } | undefined {
     const usage = this._options.usage?.reportSince(revision)
     const hasChanged = usage !== undefined && (usage.revision !== revision || usage.report.settledBefore !== settledBefore)
--- a/src/quarantine/requestQuarantine.ts
+++ b/src/quarantine/requestQuarantine.ts
@@ -71,9 +71,9 @@
   private readonly _options: RequestQuarantineOptions
   private readonly _runs: EndpointRuns
   private readonly _reports: SuspectReports
-  /** By digest, the ids of the endpoints that this host saw terminate. */
+  /** By digest of the request, the ids of the endpoints that this host saw terminate while running the request. */
   private readonly _ownTerminations = new LRUCache<string, Set<string>>({ max: MAX_OWN_SUSPECTS_COUNT })
-  /** By digest, when an endpoint last answered the request. */
+  /** By digest of the request, when an endpoint last answered the request. */
   private readonly _answeredAtMs = new LRUCache<string, number>({ max: MAX_ANSWERED_COUNT })
   /** Number of running requests that are suspected or on probation, by endpoint. */
   private readonly _riskyCounts = new Map<string, number>()
