--- a/src/duties/infrastructure.ts
+++ b/src/duties/infrastructure.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to the infrastructure that only one host at a time may make, and their
- * outcomes. The state of the infrastructure cannot be read back: a call without a
+ * Calls to the infrastructure that only one host at a time may make, and the outcomes
+ * of these calls. The state of the infrastructure cannot be read back: a call without a
  * definite answer may have been executed, or may be executed later.
  */
 import type { Scope } from '../utils/scope.js'
@@ -8,7 +8,7 @@
 export enum DutyKind {
   /** Reports how many requests of each client account were started in a time window. */
   ReportUsage = 'report_usage',
-  /** Orders the desired number of a service's endpoints in one data centre. */
+  /** Sends the desired number of a service's endpoints in one data centre. */
   OrderEndpoints = 'order_endpoints'
 }
 
