--- a/src/entry/directory/gossip.ts
+++ b/src/entry/directory/gossip.ts
@@ -57,7 +57,7 @@
   random: RandomSource
   logger: Logger
   supervisor: Supervisor
-  /** Load without a significant change is sent again after a third of this. */
+  /** Load without a significant change is sent again after a third of this time. */
   leaseMs: number
 }
 
--- a/src/entry/directory/gossipRecord.ts
+++ b/src/entry/directory/gossipRecord.ts
@@ -37,7 +37,7 @@
 
 /**
  * `drained` tells that an operator took the endpoint out of service. Once set,
- * it holds for the rest of the incarnation, even if a newer version lacks it.
+ * the flag holds for the rest of the incarnation, even if a newer version lacks it.
  */
 export const fullRecordSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal(RecordKind.Endpoint), ...versionShape, content: announcementSchema, drained: z.boolean() }),
--- a/src/entry/directory/hostStates.ts
+++ b/src/entry/directory/hostStates.ts
@@ -82,8 +82,8 @@
 
   /**
    * Removes this host from the advice of all other hosts. A host that does not
-   * confirm may name this one until the lease of this host expires.
-   * @returns the time of this host's clock after which no host names it in advice
+   * confirm may name this host until the lease of this host expires.
+   * @returns the time of this host's clock after which no host names this host in advice
    */
   async withdrawFromAdvice (hostIds: string[], scope: Scope): Promise<number> {
     const { clock, mesh, hostLeaseMs } = this._options
--- a/src/entry/directory/pushQueue.ts
+++ b/src/entry/directory/pushQueue.ts
@@ -1,8 +1,8 @@
 /**
  * The queue of records to push to other hosts. It holds only the newest state
- * of each record. Changed content is sent at once; load is delayed so that it
- * is sent in batches. Load without a significant change is skipped until the
- * lease has to be renewed.
+ * of each record. Changed content is sent at once; load reports are delayed and
+ * sent in batches. Load without a significant change is skipped until the
+ * record's lease has to be renewed.
  */
 import type { Clock } from '../../utils/clock.js'
 import type { FullRecord, LoadRecord } from './gossipRecord.js'
--- a/src/entry/directory/recordStore.ts
+++ b/src/entry/directory/recordStore.ts
@@ -69,7 +69,7 @@
     return kind
   }
 
-  /** Applies the drained flag of an older record: an operator may have drained the endpoint through another host. */
+  /** Applies the drained flag even of an older record: an operator may have drained the endpoint through another host. */
   private _applyDrain (key: string, before: StoredRecord | undefined, record: FullRecord): PutOutcome {
     const isFirstDrain = before?.record.kind === RecordKind.Endpoint && isDrained(record) &&
       before.record.incarnation === record.incarnation && !before.record.drained
@@ -80,7 +80,7 @@
     return 'content'
   }
 
-  /** Updates load and lease if the content of the record is already stored. */
+  /** Updates the load and the lease of a record if its content is already stored. */
   putLoad (entry: LoadRecord): LoadOutcome {
     const [kind, id, incarnation, sequence, contentSequence, leaseRemainingMs, loadAgeMs, load] = entry
     const key = keyOf(kind, id)
--- a/src/entry/directory/rendezvous.ts
+++ b/src/entry/directory/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
  * Rendezvous hashing: all hosts with the same candidates compute the same
- * ranking, and removing a candidate reassigns only the keys it had.
+ * ranking, and removing a candidate reassigns only the keys of that candidate.
  */
 import xxhash from 'xxhash-wasm'
 
--- a/src/entry/directory/topology.ts
+++ b/src/entry/directory/topology.ts
@@ -1,5 +1,5 @@
 /**
- * Selects the entry hosts that this one connects to: all of its own data
+ * Selects the entry hosts that this host connects to: all of its own data
  * centre, and one relay in each other data centre. Different hosts choose
  * different relays, which spreads the load.
  */
@@ -33,7 +33,7 @@
     return [...near, ...far]
   }
 
-  /** Returns one host in each other data centre, preferring a connected one. */
+  /** Returns one host in each other data centre, preferring a connected host. */
   relays (): string[] {
     const connected = new Set(this._options.connectedHostIds())
     return [...this._rankedRelays().values()].map(ranked => ranked.find(hostId => connected.has(hostId)) ?? ranked[0]).filter(hostId => hostId !== undefined)
--- a/src/entry/rollouts/hostRanking.ts
+++ b/src/entry/rollouts/hostRanking.ts
@@ -1,6 +1,6 @@
 /**
  * Rendezvous hashing: every host computes the same ranking of hosts for a key,
- * and the loss of a host affects only the keys that it held.
+ * and the loss of a host affects only the keys assigned to that host.
  */
 import { createHash } from 'node:crypto'
 
--- a/src/entry/rollouts/pullServer.ts
+++ b/src/entry/rollouts/pullServer.ts
@@ -19,7 +19,7 @@
 
 /** The ledger is queried at this interval too, since a notification may be lost together with its host. */
 const POLL_INTERVAL_MS = 1_000
-/** The content of a sample counts as lost when its holders are unreachable for this long. */
+/** The content of a sample counts as lost when the hosts that store it are unreachable for this long. */
 const UNREACHABLE_TIMEOUT_MS = 3_000
 const FETCH_RETRY_INTERVAL_MS = 200
 
@@ -43,7 +43,7 @@
   private readonly _options: PullServerOptions
   private readonly _signals = new Map<string, Set<WakeSignal>>()
   private readonly _lastSteps = new Map<string, number>()
-  /** When the holders of an attempt's content were first found unreachable. */
+  /** When the hosts that store an attempt's content were first found unreachable. */
   private readonly _unreachableSinceMs = new Map<string, number>()
 
   constructor (options: PullServerOptions) {
@@ -55,7 +55,7 @@
     for (const signal of this._signals.get(job) ?? []) signal.wake()
   }
 
-  /** @param progress its deadline is that of the reply; the wait for samples is bounded by `request.waitMs` */
+  /** @param progress the reply is due at its deadline; the wait for samples is bounded by `request.waitMs` */
   async pull (job: string, request: PullRequest, progress: Progress): Promise<PullOutcome> {
     const signal = new WakeSignal()
     const signals = this._signals.get(job) ?? new Set()
--- a/src/entry/rollouts/rolloutProgram.ts
+++ b/src/entry/rollouts/rolloutProgram.ts
@@ -100,7 +100,7 @@
   }))
 }
 
-/** Notifies the other hosts that slots may be waiting. A lost notification delays them by one renewal interval. */
+/** Notifies the other hosts that slots may be waiting. A lost notification delays those slots by one renewal interval. */
 class SlotsNotifier {
   private readonly _context: RolloutContext
   private _supervisor: Supervisor | undefined
--- a/src/entry/rollouts/sampleReplication.ts
+++ b/src/entry/rollouts/sampleReplication.ts
@@ -1,6 +1,6 @@
 /**
  * Stores every finished sample on two hosts, fetches contents for delivery, and
- * copies samples again after the loss of a host.
+ * replicates samples again after the loss of a host.
  */
 import type { CommittedSample, HeldSample, Slot } from '../../protocol/rolloutCommands.js'
 import { RolloutCommandKind } from '../../protocol/rolloutCommands.js'
@@ -21,9 +21,9 @@
 
 export type FetchOutcome =
   | { kind: 'found', content: SampleContent }
-  /** Every holder has replied that it does not have the content. */
+  /** Every host listed for the content has replied that the content is not stored there. */
   | { kind: 'lost' }
-  /** At least one holder did not reply. */
+  /** At least one host listed for the content did not reply. */
   | { kind: 'unreachable' }
 
 export class SampleReplication {
@@ -38,7 +38,7 @@
     this._serve()
   }
 
-  /** Stores the content of a sample on this host and on a second one; returns the hosts that hold it. */
+  /** Stores the content of a sample on this host and on a second one; returns the hosts that store the content. */
   async replicate (content: SampleContent, progress: Progress): Promise<string[]> {
     this._store.put(content)
     const holders = [this._context.hostId, ...await this._copyTo(content, this._rankedHosts(slotKey(content)), progress)]
@@ -46,7 +46,7 @@
     return holders
   }
 
-  /** Looks up contents on this host first, then on their other holders in turn. */
+  /** Looks up contents on this host first, then in turn on the other hosts that store them. */
   async fetch (samples: CommittedSample[], progress: Progress): Promise<Map<string, FetchOutcome>> {
     const outcomes = new Map<string, FetchOutcome>()
     for (const { attemptId } of samples) {
@@ -62,13 +62,13 @@
     return outcomes
   }
 
-  /** Copies samples that have lost a holder to another host. */
+  /** Replicates samples that have lost a replica to another host. */
   async repair (held: HeldSample[], progress: Progress): Promise<void> {
     const connected = new Set([this._context.hostId, ...this._context.peers.connectedHostIds()])
     for (const sample of held) {
       const content = this._store.get(sample.attemptId)
       const connectedHolders = sample.holderHostIds.filter(hostId => connected.has(hostId))
-      // Only the first connected holder repairs, so that two holders don't choose different hosts.
+      // Only the first connected host with a replica repairs, so that two such hosts don't choose different targets.
       if (!content || connectedHolders.length >= HOLDERS_COUNT || connectedHolders[0] !== this._context.hostId) continue
       const copies = await this._copyTo(content, this._rankedHosts(slotKey(content)), progress)
       if (copies.length === 0) continue
--- a/src/entry/rollouts/sampleScorer.ts
+++ b/src/entry/rollouts/sampleScorer.ts
@@ -1,7 +1,7 @@
 /**
  * Scores samples with the services of a pool. Calls are repeated until one
- * succeeds or the deadline passes, so that a failed call doesn't discard the tokens
- * of a sample.
+ * succeeds or the deadline passes, so that the tokens of a sample aren't discarded
+ * because of a failed call.
  */
 import { request } from 'undici'
 import { SCORE_PATH, scoreReplySchema, type ScoreRequest } from '../../protocol/endpoints.js'
--- a/src/entry/rollouts/sampleStore.ts
+++ b/src/entry/rollouts/sampleStore.ts
@@ -43,7 +43,7 @@
     this._samples.delete(attemptId)
   }
 
-  /** Removes contents that the ledger doesn't list as held by this host, and checkpoints, once they are old enough. */
+  /** Removes old checkpoints, and old contents that the ledger doesn't list as stored on this host. */
   sweep (held: HeldSample[]): void {
     const needed = new Set(held.map(({ attemptId }) => attemptId))
     const oldestMs = this._clock.nowMs() - COMMIT_GRACE_MS
--- a/src/entry/rollouts/sampleThroughput.ts
+++ b/src/entry/rollouts/sampleThroughput.ts
@@ -1,6 +1,6 @@
 /**
  * Measures the token throughput of single samples and decides when a running
- * sample is moved to another engine: when it is much slower than the average of
+ * sample is moved to another engine: when the sample is much slower than the average of
  * the pool and another engine has spare capacity. The generated tokens move with
  * the sample, so a move costs one prefill and discards nothing, whereas a second
  * parallel attempt would discard the work of the slower one.
--- a/src/entry/rollouts/slotLeaser.ts
+++ b/src/entry/rollouts/slotLeaser.ts
@@ -1,6 +1,6 @@
 /**
  * Leases slots from the ledger. One command at a time renews the lease of the
- * host, lists its running attempts, and requests only as many slots as the
+ * host, lists the attempts running on the host, and requests only as many slots as the
  * engines can start, so that the ledger decides the order of starts.
  */
 import { RolloutCommandKind, type HeldSample, type JobStatus, type LeasedSlot, type RolloutResultOf, type SlotRequest } from '../../protocol/rolloutCommands.js'
@@ -77,7 +77,7 @@
     if (result.held) this._maintainHeldSamples(result.held, supervisor)
   }
 
-  /** Removes contents that are no longer needed, and copies those that have lost a holder. */
+  /** Removes contents that are no longer needed, and replicates again the contents that have lost a replica. */
   private _maintainHeldSamples (held: HeldSample[], supervisor: Supervisor): void {
     const { context: { clock }, replication, store } = this._options
     this._nextSweepAtMs = clock.nowMs() + SWEEP_INTERVAL_MS
@@ -127,7 +127,7 @@
     return {
       job,
       maxSlotsCount: Math.max(0, capacityCount - ownCount),
-      // Slots of later steps only get capacity that no current step of any job needs.
+      // Slots of later steps get only the capacity that no current step of any job needs.
       maxAheadCount: isStepDrained ? freeCount : 0
     }
   }
--- a/src/entry/rollouts/slotWorker.ts
+++ b/src/entry/rollouts/slotWorker.ts
@@ -1,8 +1,8 @@
 /**
  * Runs one leased slot: generates the sample, scores it, stores it on two hosts
  * and commits it. Tokens are not discarded while they can still be delivered:
- * after a refusal or the loss of an engine, the worker resumes after the tokens
- * it has.
+ * after a refusal or the loss of an engine, the worker continues the sample from
+ * the tokens generated so far.
  */
 import type { LeasedSlot, RolloutResult } from '../../protocol/rolloutCommands.js'
 import { RolloutCommandKind, SampleDropReason } from '../../protocol/rolloutCommands.js'
--- a/src/entry/rollouts/weights/engineOrders.ts
+++ b/src/entry/rollouts/weights/engineOrders.ts
@@ -17,7 +17,7 @@
   readState (url: string, progress: Progress): Promise<StateOutcome>
 }
 
-/** The HTTP implementation. It sends an order once and doesn't retry it. */
+/** The HTTP implementation. Sends each order once, without retries. */
 export const httpEngineOrders: EngineOrders = {
   async order (url, order, progress) {
     try {
--- a/src/entry/rollouts/weights/poolCoordinator.ts
+++ b/src/entry/rollouts/weights/poolCoordinator.ts
@@ -1,9 +1,9 @@
 /**
  * Brings the engines of one pool to their target weights, a few at a time.
  *
- * The number of concurrent loads is bounded by `maxFetchingCount`, chosen to
+ * The number of concurrent weight loads is bounded by `maxFetchingCount`, chosen to
  * use the full bandwidth of the weight store, and by the part of the pool that
- * has to keep serving. Loads form a sliding window, so that the store doesn't
+ * has to keep serving. Weight loads form a sliding window, so that the store doesn't
  * wait for the slowest engine of a batch. Their starts are staggered, so that
  * engines don't all exchange weights at the same time while the store is idle.
  *
@@ -201,7 +201,7 @@
   }
 }
 
-/** Engines that may load concurrently while enough of them keep serving; at least one. */
+/** Number of engines that may load weights concurrently while enough others keep serving; at least one. */
 export function maxSwappingCount (enginesCount: number, { minServingPercent, maxFetchingCount }: EndpointPoolSpec): number {
   const spareCount = enginesCount - Math.ceil(enginesCount * minServingPercent / 100)
   return Math.max(1, Math.min(maxFetchingCount, spareCount))
--- a/src/entry/rollouts/weights/weightDistribution.ts
+++ b/src/entry/rollouts/weights/weightDistribution.ts
@@ -2,9 +2,9 @@
  * Decides which pools this host coordinates, and runs their coordinators.
  *
  * All hosts compute the same ranking of hosts for a pool; the first connected
- * host acquires the pool's fence. Engines accept its orders and refuse those of
- * its predecessor by the fencing number. Where engines ignore fencing numbers,
- * the successor first waits until no order of its predecessor can be in flight.
+ * host acquires the pool's fence. By the fencing number, engines accept orders of
+ * that host and refuse orders of the previous coordinator. Where engines ignore fencing numbers,
+ * the new coordinator first waits until no order of the previous one can be in flight.
  */
 import { HostCommandKind } from '../../../protocol/hostCommands.js'
 import { FencingSupport, ResourceKind } from '../../../protocol/resources.js'
@@ -27,7 +27,7 @@
 /** A disconnected host sends no orders after its configuration lease, which is shorter than this, has expired. */
 const PREDECESSOR_STOP_TIMEOUT_MS = 15_000
 
-/** Requests the previous coordinator to stop; the reply has the time until its last order expires. */
+/** Requests the previous coordinator to stop; the reply has the time until that coordinator's last order expires. */
 const standDown = rpcMethod('rollouts.standDown', z.object({ pool: z.string(), fencingNumber: z.int() }), z.object({ lastOrderRemainingMs: z.number() }))
 
 export class WeightDistribution {
--- a/src/entry/scheduling/assignment.ts
+++ b/src/entry/scheduling/assignment.ts
@@ -1,6 +1,6 @@
 /**
  * The right to use one endpoint for one attempt. It is finished exactly once:
- * by its holder or, when the request's scope has closed and the holder doesn't
+ * by its user or, when the request's scope has closed and the user doesn't
  * call `finish` within a grace period, by expiry.
  */
 import type { Clock } from '../../utils/clock.js'
@@ -9,7 +9,7 @@
 import type { EndpointRecord } from '../directory/endpointRecord.js'
 import type { Assignment, AttemptResult } from './scheduler.js'
 
-/** The holder has this long to call `finish` after the request's scope closes. */
+/** The user of an assignment has this long to call `finish` after the request's scope closes. */
 const FINISH_GRACE_MS = 1_000
 
 export interface AssignmentOptions {
--- a/src/entry/scheduling/callerLimits.ts
+++ b/src/entry/scheduling/callerLimits.ts
@@ -23,7 +23,7 @@
   | { kind: 'admitted' }
   | { kind: 'limited', message: string, retryAfterMs: number }
 
-/** Used at the concurrency limit, where it is unknown when a request will finish. */
+/** Retry delay at the concurrency limit, where the time until a request finishes is unknown. */
 const CONCURRENCY_RETRY_AFTER_MS = 500
 
 export class CallerLimits {
--- a/src/entry/scheduling/decisionLog.ts
+++ b/src/entry/scheduling/decisionLog.ts
@@ -11,14 +11,14 @@
 /** An endpoint that was considered, with the inputs of the choice. */
 export interface Candidate {
   endpointId: string
-  /** Estimate of the requests running and queued there, from all hosts. */
+  /** Estimate of the requests of all hosts running and queued at the endpoint. */
   estimatedCount: number
   ownCount: number
-  /** Requests that this host may currently have there. */
+  /** Number of requests that this host may currently have at the endpoint. */
   ownLimitCount: number
   reportAgeMs: number
   msPerToken: number | undefined
-  /** Whether it is a home of the prompt's prefix. */
+  /** Whether the endpoint is a home of the prompt's prefix. */
   isHome: boolean
   score: number
 }
--- a/src/entry/scheduling/endpointHealth.ts
+++ b/src/entry/scheduling/endpointHealth.ts
@@ -13,7 +13,7 @@
 const SLOWNESS_HALF_LIFE_MS = 60_000
 const FIRST_EJECTION_MS = 5_000
 const MAX_EJECTION_MS = 60_000
-/** The duration of an ejection starts at its minimum again after this time without one. */
+/** The duration of an ejection starts at its minimum again after this time without an ejection. */
 const EJECTION_BACKOFF_RESET_MS = 120_000
 
 export class EndpointHealth {
@@ -34,7 +34,7 @@
     return this._tokenTime.msPerToken
   }
 
-  /** Time per token relative to the typical one, at least 1. It decays towards 1, so that a slow endpoint is tried again. */
+  /** Time per token relative to the typical time per token, at least 1. The ratio decays towards 1, so that a slow endpoint is tried again. */
   slowness (typicalMsPerToken: number | undefined, nowMs: number): number {
     if (this.msPerToken === undefined || typicalMsPerToken === undefined) return 1
     const excess = Math.max(0, this.msPerToken / typicalMsPerToken - 1)
@@ -50,7 +50,7 @@
     this.slowStartCount += 1
   }
 
-  /** Smoothed fraction of failed attempts. It decays, so that the endpoint is tried again. */
+  /** Smoothed fraction of failed attempts. The fraction decays, so that the endpoint is tried again. */
   failureRate (nowMs: number): number {
     return this._failureRate * 2 ** (-Math.max(0, nowMs - this._failedAtMs) / FAILURE_HALF_LIFE_MS)
   }
--- a/src/entry/scheduling/endpointState.ts
+++ b/src/entry/scheduling/endpointState.ts
@@ -25,7 +25,7 @@
 const MAX_ENGINE_QUEUE_FRACTION = 1
 /** Requests of the best-paid class that a host may send beyond its limit. */
 const URGENT_EXTRA_COUNT = 4
-/** No such request is sent to an engine whose queue exceeds this fraction of its capacity. */
+/** No request beyond the limit is sent to an engine whose queue exceeds this fraction of its capacity. */
 const MAX_URGENT_QUEUE_FRACTION = 1
 /** With fewer running requests, the reported speed is not representative. */
 const MIN_RUNNING_COUNT_FOR_SPEED = 3
@@ -57,12 +57,12 @@
     return this._ownHistory.count
   }
 
-  /** Requests running and queued there: those of other hosts by the last report, those of this host as of now. */
+  /** Requests running and queued at the endpoint: of other hosts by the last report, of this host as of now. */
   get estimatedCount (): number {
     return Math.max(0, this._reportedCount - this._ownCountAtReport) + this._ownHistory.count
   }
 
-  /** Requests that this host may currently have there. */
+  /** Number of requests that this host may currently have at the endpoint. */
   get ownLimitCount (): number {
     const limitCount = this._refusedSinceReport ? Math.min(this._limitCount, this._ownHistory.count) : this._limitCount
     return Math.min(limitCount, this.health.slowStartCount)
@@ -117,7 +117,7 @@
     this._ownHistory.ended(nowMs)
   }
 
-  /** The endpoint refused a request for lack of capacity: no further ones are sent until its next report. */
+  /** The endpoint refused a request for lack of capacity: no further requests are sent there until its next report. */
   recordRefusal (): void {
     this._refusedSinceReport = true
   }
--- a/src/entry/scheduling/poolEndpoints.ts
+++ b/src/entry/scheduling/poolEndpoints.ts
@@ -58,7 +58,7 @@
     this._removeUnavailable()
   }
 
-  /** Endpoints without the ejected ones. If too few would remain, those whose ejection ends first stay in use. */
+  /** Endpoints that are not ejected. If too few remain, the endpoints whose ejection ends first stay in use. */
   inUse (nowMs: number): EndpointState[] {
     const ejected = this._available
       .filter(state => state.health.isEjected(nowMs))
@@ -76,7 +76,7 @@
     return this._ids
   }
 
-  /** Whether any endpoint, ejected or not, is not excluded by the item. */
+  /** Whether the item allows at least one endpoint, ejected or not. */
   hasCandidateFor (item: WorkItem): boolean {
     return this._available.some(state => !item.excludedEndpointIds.includes(state.endpointId))
   }
--- a/src/entry/scheduling/poolScheduler.ts
+++ b/src/entry/scheduling/poolScheduler.ts
@@ -33,7 +33,7 @@
 /** Fraction of the time to its deadline that a request waits for free capacity at a home of its prefix. */
 const AFFINITY_WAIT_FRACTION = 0.2
 const MAX_AFFINITY_WAIT_MS = 1_000
-/** An endpoint with less load than this fraction of its capacity counts as idle. */
+/** An endpoint whose load is below this fraction of its capacity counts as idle. */
 const IDLE_FRACTION = 0.25
 
 export class PoolScheduler {
--- a/src/entry/scheduling/prefixHomes.ts
+++ b/src/entry/scheduling/prefixHomes.ts
@@ -18,7 +18,7 @@
 const LEVELS_COUNT = 7
 const MAX_PREFIXES = 8192
 const POPULARITY_HALF_LIFE_MS = 30_000
-/** A prefix with a larger share of the traffic doesn't distinguish requests; a longer one is used. */
+/** A prefix with a larger share of the traffic doesn't distinguish requests; a longer prefix is used. */
 const MAX_TRAFFIC_SHARE = 0.5
 /** Capacity of a prefix's homes relative to its share of the traffic. */
 const HOME_HEADROOM_FACTOR = 1.25
@@ -49,7 +49,7 @@
   private readonly _prefixes = new LRUCache<number, Popularity>({ max: MAX_PREFIXES })
   private readonly _total: Popularity = { weight: 0, atMs: 0 }
 
-  /** Records a request with these prefixes. */
+  /** Counts a request with these prefixes. */
   record (keys: number[], nowMs: number): void {
     add(this._total, nowMs)
     for (const key of keys) {
--- a/src/entry/scheduling/waitForecast.ts
+++ b/src/entry/scheduling/waitForecast.ts
@@ -1,6 +1,6 @@
 /**
  * Forecasts the queueing and run time of requests at a pool from this host's
- * observations: the rate at which tokens leave its queue while there is a
+ * observations: the rate at which tokens leave the queue while there is a
  * backlog, and the time per token.
  */
 import type { RandomSource } from '../../utils/randomSource.js'
--- a/src/entry/services/plainCalls.ts
+++ b/src/entry/services/plainCalls.ts
@@ -1,8 +1,8 @@
 /**
  * Calls to plain services without an at-most-once guarantee: idempotent calls
- * are retried, others end with an unknown outcome when the response is lost.
+ * are retried, other calls end with an unknown outcome when the response is lost.
  * Small responses are buffered completely before the caller gets the first
- * byte, so that a truncated one can be retried; large ones are streamed.
+ * byte, so that a call with a truncated response can be retried; large responses are streamed.
  *
  * Connections are reused only to endpoints that echo the attempt id. Without
  * the echo, a surplus response to an earlier request on the connection cannot
--- a/src/entry/services/serviceCall.ts
+++ b/src/entry/services/serviceCall.ts
@@ -50,7 +50,7 @@
   return forwardableHeaders(headers)
 }
 
-/** Whether the endpoint reports, with status 503 and the agreed header, that it did not run the call. */
+/** Whether the endpoint reports, with status 503 and the agreed header, that the call was not run. */
 export function isNotExecuted (status: number, headers: IncomingHttpHeaders): boolean {
   return status === SERVICE_UNAVAILABLE && headers[NOT_EXECUTED_HEADER] !== undefined
 }
--- a/src/entry/services/unrepeatableCalls.ts
+++ b/src/entry/services/unrepeatableCalls.ts
@@ -30,7 +30,7 @@
 const QUERY_TIMEOUT_MS = 2_000
 const START_TIMEOUT_MS = 3_000
 const RELEASE_TIMEOUT_MS = 1_000
-/** How long the submission of a release or of a response is retried. */
+/** How long the submission of a key's release or of a response to control is retried. */
 const SUBMIT_RETRY_LIMIT_MS = 60_000
 /** How long the response to the caller is delayed until it is recorded. */
 const RECORD_WAIT_LIMIT_MS = 2_000
@@ -217,7 +217,7 @@
     }
   }
 
-  /** Sends the call to one endpoint after another until one may have run it or no retry is allowed. */
+  /** Sends the call to one endpoint after another until an endpoint may have run the call or no retry is allowed. */
   private async _dispatch (attempt: UnrepeatableAttempt, first: Assignment, progress: Progress): Promise<EndpointOutcome> {
     const { scheduler, limits } = this._options
     const excludedEndpointIds = [...attempt.call.item.excludedEndpointIds]
--- a/src/entry/services/unrepeatableDispatch.ts
+++ b/src/entry/services/unrepeatableDispatch.ts
@@ -20,7 +20,7 @@
 export interface DispatchedAttempt {
   attemptId: string
   call: ServiceCall
-  /** Progress of the caller's request; if it ends before the first byte is written, the call is not sent. */
+  /** Progress of the caller's request; if the request ends before the first byte is written, the call is not sent. */
   progress: Progress
   /** Set before the first byte is written, and cleared when the call certainly did not run. */
   isAtEndpoint: boolean
