--- a/src/entry/completions/chunkAssembler.ts
+++ b/src/entry/completions/chunkAssembler.ts
@@ -11,7 +11,7 @@
 export type ChunkOutcome =
   /** Chunks with new tokens, in order; may be empty. */
   | { kind: 'accepted', chunks: CompletionChunk[] }
-  /** The buffer of out-of-order chunks is full, so the chunks in between are considered lost. */
+  /** The buffer of out-of-order chunks is full, so the missing chunks before them are considered lost. */
   | { kind: 'gapTooLarge' }
 
 export class ChunkAssembler {
--- a/src/entry/completions/completionRoute.ts
+++ b/src/entry/completions/completionRoute.ts
@@ -118,7 +118,7 @@
     return { kind: 'task', task, request }
   }
 
-  /** Returns the engine pool with that name, or else the first one whose engines load that model. */
+  /** Returns the engine pool with that name, or else the first pool whose engines load that model. */
   private _poolOf (model: string): string | undefined {
     const { configuration } = this._options
     const named = configuration.get(ResourceKind.EndpointPool, model)
--- a/src/entry/completions/engineCompletions.ts
+++ b/src/entry/completions/engineCompletions.ts
@@ -1,6 +1,6 @@
 /**
  * Runs a completion over as many engines as necessary: when an engine fails,
- * another one resumes after the tokens received so far. Only tokens that have
+ * another engine resumes after the tokens received so far. Only tokens that have
  * not been received are generated again.
  */
 import type { Dispatcher } from 'undici'
--- a/src/entry/completions/engineStream.ts
+++ b/src/entry/completions/engineStream.ts
@@ -27,7 +27,7 @@
   /** The engine sent the end marker, or the sink ended the attempt. */
   | { kind: 'ended', isComplete: boolean }
   | { kind: 'failed', reason: RetryReason, message: string }
-  /** The engine rejected the request as invalid; other engines would reject it too. */
+  /** The engine rejected the request as invalid; other engines would reject the request too. */
   | { kind: 'rejected', status: number, message: string }
   | { kind: 'deadlinePassed' }
 
--- a/src/entry/entrySettings.ts
+++ b/src/entry/entrySettings.ts
@@ -18,13 +18,13 @@
   /** A larger request header block is refused with status 431. */
   maxHeadBytes: bytes.default(16 * KIB),
   maxConnectionsCount: count.default(20_000),
-  /** The connection of a caller that has not sent all request headers by then is closed. */
+  /** The connection of a caller that has not sent all request headers within this time is closed. */
   headTimeoutMs: durationMs.default(10_000),
   /** The connection of a caller that reads nothing of its response for this long is closed. */
   slowReaderTimeoutMs: durationMs.default(30_000),
-  /** Deadline of requests that name none. */
+  /** Deadline of requests that name no deadline. */
   defaultDeadlineMs: durationMs.default(60_000),
-  /** Longer deadlines are reduced to this. */
+  /** Longer deadlines are reduced to this time. */
   maxDeadlineMs: durationMs.default(600_000),
   /** Time limit for opening a connection to an endpoint. */
   connectTimeoutMs: durationMs.default(2_000),
@@ -40,7 +40,7 @@
   endpointLeaseMs: durationMs.default(10_000),
   /** An entry host without an update for this long is removed from advice. */
   hostLeaseMs: durationMs.default(6_000),
-  /** Time limit of a planned stop; requests that still run then are aborted. */
+  /** Time limit of a planned stop; requests still running after this time are aborted. */
   maxStopMs: durationMs.default(900_000)
 })
 export type EntryLimits = z.output<typeof limitsSchema>
--- a/src/entry/http/abortEmitter.ts
+++ b/src/entry/http/abortEmitter.ts
@@ -29,7 +29,7 @@
     this.emit(ABORT_EVENT)
   }
 
-  /** Detaches from the scope: its closing no longer aborts the request. */
+  /** Detaches from the scope: the closing of the scope no longer aborts the request. */
   detach (): void {
     this._dispose()
   }
--- a/src/entry/http/callerIdentity.ts
+++ b/src/entry/http/callerIdentity.ts
@@ -13,7 +13,7 @@
   | { kind: 'caller', callerName: string, priorityClass: string }
   | { kind: 'refused', refusal: Refusal }
 
-/** Returns caller and class; a class configured for the caller overrides the one that the request names. */
+/** Returns caller and class; a class configured for the caller overrides the class that the request names. */
 export function callerOf ({ request }: Exchange, configuration: ConfigurationView): CallerOutcome {
   const callerName = headerOf(request.headers[CallerHeader.CallerName]) ?? ANONYMOUS_CALLER
   const declared = configuration.get(ResourceKind.CallerLimit, callerName)?.spec.priorityClass
@@ -26,7 +26,7 @@
   return { kind: 'caller', callerName, priorityClass }
 }
 
-/** Returns the class with the lowest paid weight, the default for callers that name none. */
+/** Returns the class with the lowest paid weight, the default for requests that name no class. */
 function lowestClass (configuration: ConfigurationView): string {
   const classes = configuration.list(ResourceKind.PriorityClass)
   const [first, ...others] = classes
--- a/src/entry/http/httpServer.ts
+++ b/src/entry/http/httpServer.ts
@@ -38,7 +38,7 @@
   journal: RequestJournal
   limits: EntryLimits
   routes: Route[]
-  /** Returns the refusal for new work on a route, or undefined if it is accepted. */
+  /** Returns the refusal for new work on a route, or undefined if the work is accepted. */
   refusalOf: (route: Route) => Refusal | undefined
   /** Waits until the configuration lease is certain again after a suspension of the machine. */
   settleLease: (scope: Scope) => Promise<void>
--- a/src/entry/http/requestBody.ts
+++ b/src/entry/http/requestBody.ts
@@ -8,7 +8,7 @@
 
 const EMPTY = Buffer.alloc(0)
 
-/** Reads the complete body; refuses one that is too large as soon as the declared or received size exceeds the limit. */
+/** Reads the complete body; refuses a body that is too large as soon as the declared or received size exceeds the limit. */
 export async function readBody (exchange: Exchange, maxBodyBytes: number): Promise<BodyOutcome> {
   const { request, progress } = exchange
   const declaredBytes = request.headers['content-length']
@@ -41,7 +41,7 @@
 }
 
 /**
- * Collects the body; resolves with undefined if it exceeds the limit. Never
+ * Collects the body; resolves with undefined if the body exceeds the limit. Never
  * settles if the caller disconnects, which closes the scope of the request.
  */
 function collect ({ request }: Exchange, maxBodyBytes: number): Promise<Buffer | undefined> {
--- a/src/entry/http/route.ts
+++ b/src/entry/http/route.ts
@@ -14,7 +14,7 @@
   readonly requestId: string
   readonly request: IncomingMessage
   readonly response: ServerResponse
-  /** Its scope closes when the caller disconnects or the response has ended. */
+  /** The scope of the progress closes when the caller disconnects or the response has ended. */
   readonly progress: Progress
   readonly path: string
   readonly query: URLSearchParams
@@ -25,9 +25,9 @@
   readonly name: string
   /** An HTTP method, or ANY_METHOD. */
   readonly method: string
-  /** The route matches every path that starts with this. */
+  /** The route matches every path that starts with this string. */
   readonly pathPrefix: string
-  /** Whether a host without a configuration lease, or one that is stopping, still serves it. */
+  /** Whether a host without a configuration lease, or a host that is stopping, still serves the route. */
   readonly servedWithoutLease: boolean
   handle (exchange: Exchange): Promise<void>
   /** Called instead of `handle` when the host accepts no new work; if absent, the refusal is sent unchanged. */
--- a/src/entry/operators/operatorRoutes.ts
+++ b/src/entry/operators/operatorRoutes.ts
@@ -18,7 +18,7 @@
   drainHost: () => void
   /** Returns false if the endpoint is unknown. */
   drainEndpoint: (endpointId: string) => boolean
-  /** Returns the scheduler's records of a request. */
+  /** Returns the decisions that the scheduler logged for a request. */
   explainScheduling: (requestId: string) => unknown
 }
 
--- a/src/entry/peers/peerMesh.ts
+++ b/src/entry/peers/peerMesh.ts
@@ -1,7 +1,7 @@
 /**
  * Connections between entry hosts. For each host that is to stay connected, a
- * task reconnects whenever the connection closes; other hosts are dialled when
- * they are called. A connection whose peer does not answer a ping, as in a
+ * task reconnects whenever the connection closes; a connection to any other host
+ * is opened at the first call. A connection whose peer does not answer a ping, as in a
  * network partition, is closed, which fails the pending calls on it.
  */
 import { z } from 'zod'
@@ -28,7 +28,7 @@
 const helloMethod = rpcMethod('peer.hello', helloSchema, helloSchema)
 const pingMethod = rpcMethod('peer.ping', z.null(), z.null())
 
-/** Handlers of one connection: its own `hello`, and the methods shared by all connections. */
+/** Handlers of one connection: `hello`, which each connection has for itself, and the methods shared by all connections. */
 class ConnectionHandlers extends RpcHandlers {
   private readonly _shared: RpcHandlers
 
@@ -171,7 +171,7 @@
     supervisor.spawn(`pings ${hostId}`, scope => this._pingWhenIdle(peer, scope))
   }
 
-  /** Pings the peer whenever it has been silent for PING_INTERVAL_MS, and closes the connection if no reply comes. */
+  /** Pings the peer whenever the peer has been silent for PING_INTERVAL_MS, and closes the connection if no reply comes. */
   private async _pingWhenIdle (peer: RpcPeer, scope: Scope): Promise<void> {
     const { clock } = this._options
     const { connection } = peer
--- a/src/entry/plannedStop.ts
+++ b/src/entry/plannedStop.ts
@@ -1,6 +1,6 @@
 /**
  * The planned stop of an entry host. The host first withdraws from advice,
- * serves until all advice that names it has expired, then refuses new work and
+ * serves until all advice that names this host has expired, then refuses new work and
  * waits until the running requests have ended.
  */
 import { sleepUntil, type Clock } from '../utils/clock.js'
@@ -15,7 +15,7 @@
   logger: Logger
   adviceValidMs: number
   maxStopMs: number
-  /** Resolves with the time after which no host names this one in advice. */
+  /** Resolves with the time after which no host names this host in advice. */
   withdrawFromAdvice: (scope: Scope) => Promise<number>
   refuseNewWork: () => void
   /** Number of requests and attempts that have not ended. */
--- a/src/entry/rollouts/jobOutlooks.ts
+++ b/src/entry/rollouts/jobOutlooks.ts
@@ -1,6 +1,6 @@
 /**
- * The last known state of each job's trainer on this host. It may be stale; the
- * ledger decides by its own state.
+ * The state of each job's trainer as last known to this host. This state may be
+ * stale; the ledger decides by its own state.
  */
 import type { RolloutJobSpec } from '../../protocol/resources.js'
 import type { JobStatus } from '../../protocol/rolloutCommands.js'
--- a/src/entry/rollouts/pullServer.ts
+++ b/src/entry/rollouts/pullServer.ts
@@ -17,7 +17,7 @@
 import type { SampleReplication } from './sampleReplication.js'
 import { WakeSignal } from './wakeSignal.js'
 
-/** The ledger is queried at this interval too, since a notification may be lost together with its host. */
+/** The ledger is queried at this interval too, since a notification may be lost together with the host that sends it. */
 const POLL_INTERVAL_MS = 1_000
 /** The content of a sample counts as lost when the hosts that store it are unreachable for this long. */
 const UNREACHABLE_TIMEOUT_MS = 3_000
--- a/src/entry/rollouts/sampleStore.ts
+++ b/src/entry/rollouts/sampleStore.ts
@@ -1,6 +1,6 @@
 /**
- * Stores the contents of finished samples until their trainer has confirmed
- * them, and checkpoints of running samples. Everything is in memory: contents
+ * Stores checkpoints of running samples, and the contents of finished samples
+ * until their trainer has confirmed these contents. Everything is in memory: contents
  * are replicated to a second host, and a sample that both hosts lose is
  * generated again.
  */
--- a/src/entry/rollouts/sampleThroughput.ts
+++ b/src/entry/rollouts/sampleThroughput.ts
@@ -3,7 +3,7 @@
  * sample is moved to another engine: when the sample is much slower than the average of
  * the pool and another engine has spare capacity. The generated tokens move with
  * the sample, so a move costs one prefill and discards nothing, whereas a second
- * parallel attempt would discard the work of the slower one.
+ * parallel attempt would discard the work of the slower attempt.
  */
 import type { Clock } from '../../utils/clock.js'
 import type { RolloutContext } from './rolloutContext.js'
--- a/src/entry/scheduling/classQueue.ts
+++ b/src/entry/scheduling/classQueue.ts
@@ -24,7 +24,7 @@
   readonly affinityWaitEndsAtMs: number
   /** Homes of the prompt's prefix; undefined when the request has no endpoint affinity. */
   readonly homes: PrefixHomes | undefined
-  /** How often later requests were dispatched before this one. */
+  /** How often later requests were dispatched before this request. */
   skippedCount: number
   /** Resolves the promise of the waiting caller. Must be called at most once. */
   settle (outcome: AssignOutcome): void
--- a/src/entry/scheduling/endpointState.ts
+++ b/src/entry/scheduling/endpointState.ts
@@ -5,7 +5,7 @@
  * Several hosts share an endpoint and each sees its load with a delay, so no
  * host may take all of the capacity that the last report shows as free. A host
  * may use an equal share of the endpoint at any time. Beyond that, it takes a
- * fraction of the free capacity of each report: its fraction of the running
+ * fraction of the free capacity of each report: the host's fraction of the running
  * requests, or an equal share if that is larger. When a report shows more
  * requests than the endpoint can run, hosts above their equal share reduce
  * their limit proportionally.
--- a/src/entry/scheduling/fairShare.ts
+++ b/src/entry/scheduling/fairShare.ts
@@ -98,7 +98,7 @@
     return [...classNames].sort((a, b) => this._virtualTimeOf(a) - this._virtualTimeOf(b) || this.shareOf(b) - this.shareOf(a))
   }
 
-  /** Whether no class has a larger share, and at least one has a smaller one. */
+  /** Whether no class has a larger share, and at least one class has a smaller share. */
   isBestPaid (className: string): boolean {
     const shares = [...this._shares.values()]
     const share = this.shareOf(className)
--- a/src/entry/scheduling/poolQueue.ts
+++ b/src/entry/scheduling/poolQueue.ts
@@ -101,7 +101,7 @@
     return count <= pool.maxQueuedCount && bytes <= pool.maxQueuedBytes ? victims : undefined
   }
 
-  /** Requests of the queue that most exceeds its share, last first; empty if that is the item's own queue. */
+  /** Requests of the queue that most exceeds its share, last first; empty if that queue is the item's own. */
   private _furthestOverShare (item: WorkItem): QueuedWork[] {
     const own = this._queueOf(item)
     if (this._idle.count > 0 && own !== this._idle) return this._idle.all().reverse()
--- a/src/entry/scheduling/poolScheduler.ts
+++ b/src/entry/scheduling/poolScheduler.ts
@@ -243,7 +243,7 @@
     return this._dispatchSelected(ready ?? fallback, nowMs)
   }
 
-  /** The best-paid class may exceed this host's limits when it is the next to be served. */
+  /** The best-paid class may exceed this host's limits when that class is the next to be served. */
   private _dispatchUrgent (className: string | undefined, inUse: EndpointState[], nowMs: number): boolean {
     if (className === undefined || !this._fairShare.isBestPaid(className)) return false
     const open = inUse.filter(state => state.hasUrgentCapacity)
--- a/src/entry/services/unrepeatableCalls.ts
+++ b/src/entry/services/unrepeatableCalls.ts
@@ -281,7 +281,7 @@
     })
   }
 
-  /** Waits for an attempt that runs on this or another host, until it ends or that host fails. */
+  /** Waits for an attempt that runs on this or another host, until the attempt ends or the host that runs the attempt fails. */
   private async _awaitEarlierAttempt (key: UnrepeatableKey, requestHash: string, { hostId, attemptId }: StartedState, progress: Progress): Promise<UnrepeatableOutcome> {
     const attemptKey = attemptKeyOf(key, attemptId)
     progress.log(`waiting for earlier attempt ${attemptId} on host ${hostId}`)
