--- a/src/entry/rollouts/sampleStore.ts
+++ b/src/entry/rollouts/sampleStore.ts
@@ -1,6 +1,6 @@
 /**
- * Stores the contents of finished samples until their trainer has confirmed
- * them, and checkpoints of running samples. Everything is in memory: contents
+ * Stores checkpoints of running samples, and the contents of finished samples
+ * until their trainer has confirmed these contents. Everything is in memory: contents
  * are replicated to a second host, and a sample that both hosts lose is
  * generated again.
  */
@@ -43,7 +43,7 @@
     this._samples.delete(attemptId)
   }
 
-  /** Removes contents that the ledger doesn't list as held by this host, and checkpoints, once they are old enough. */
+  /** Removes old checkpoints, and old contents that the ledger doesn't list as stored on this host. */
   sweep (held: HeldSample[]): void {
     const needed = new Set(held.map(({ attemptId }) => attemptId))
     const oldestMs = this._clock.nowMs() - COMMIT_GRACE_MS
