--- a/src/batches/assignmentRound.ts
+++ b/src/batches/assignmentRound.ts
@@ -1,6 +1,6 @@
 /**
  * One pass over all waiting items. The engines that may run an item are computed
- * once per batch, and the pace and health of each engine are read once per batch.
+ * once per batch, and time per event and health of each engine are read once per batch.
  * Without this sharing, 500 items of four trainers and 31 engines blocked the
  * event loop of the store leader for longer than the heartbeat timeout, so that
  * it lost its leadership at every step.
@@ -51,7 +51,7 @@
   /** By batch and service. */
   private readonly _candidateSets = new Map<Batch, Map<string, CandidateSet>>()
   private readonly _deferrableSlots = new Map<string, number>()
-  /** Slots assigned in this round; the order of the engines can only change when it grows. */
+  /** Slots assigned in this round; the ranking of the engines can only change when this count grows. */
   private _assignedCount = 0
 
   constructor (options: AssignmentRoundOptions) {
@@ -85,7 +85,7 @@
     return shouldWaitForFaster({ freeGapMs: free.gapMs, fullGapMs: best.gapMs, remainingEventsCount, waitedMs }) ? undefined : free.engine
   }
 
-  /** Candidates for an item with restrictions of its own; engines at which it has failed only count when there is no other. */
+  /** Candidates for an item with restrictions of its own; engines at which the item has failed only count when there is no other engine. */
   private _restrictedCandidatesFor (run: ItemRun): CandidateSet | undefined {
     const shared = this._candidatesFor(run)
     if (!shared) return undefined
@@ -158,7 +158,7 @@
   for (const candidate of candidates) {
     const { engine } = candidate
     if (maxRunsCount !== undefined && engine.runningCount >= Math.min(maxRunsCount, candidate.maxRunsCount)) continue
-    // A probing engine accepts one run at a time and may have got it earlier in this round.
+    // A probing engine accepts one run at a time and may have got that run earlier in this round.
     if (candidate.isUncertain && !engine.health.isAvailable) continue
     const costMs = eventCostMs(candidate)
     if (costMs >= lowestCostMs) continue
--- a/src/batches/batch.ts
+++ b/src/batches/batch.ts
@@ -86,7 +86,7 @@
     return heldBytesOfHead(this.submission) + this._itemsBytes + this._resultsBytes
   }
 
-  /** Estimated memory of its results in bytes. */
+  /** Estimated memory of the results of the batch in bytes. */
   get resultsBytes (): number {
     return this._resultsBytes
   }
--- a/src/batches/batchClient.ts
+++ b/src/batches/batchClient.ts
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Waits for results in short polls, so that a replica that dies meanwhile is soon replaced by another one. */
+  /** Waits for results in short polls, so that after a replica crashes, another replica is soon polled instead. */
   async readResults ({ batchId, account }: BatchReference, fromPosition: number, waitMs: number, progress: Progress): Promise<Exclude<ReadResultsReply, NotLeader>> {
     const { clock } = progress
     const waitUntilMs = clock.nowMs() + waitMs
@@ -114,7 +114,7 @@
     return unavailableFor(outcome)
   }
 
-  /** Reply of a nearby replica; undefined when none can answer and the leader has to be called. */
+  /** Reply of a nearby replica; undefined when no replica can answer, so that the leader has to be called. */
   private async _callNearby<Request, Reply extends { kind: string }> (
     method: RpcMethod<Request, Reply>, body: Request, progress: Progress, attemptTimeoutMs: number
   ): Promise<Exclude<Reply, NotLeader> | undefined> {
--- a/src/batches/batchDispatcher.ts
+++ b/src/batches/batchDispatcher.ts
@@ -36,7 +36,7 @@
 const MAX_CARRIED_OVER_OUTPUTS_COUNT = 2_000
 /** Shortest time between two log lines about overload. */
 const OVERLOAD_LOG_INTERVAL_MS = 1_000
-/** Steps of a model that are open at the same time: the earlier one still waits for its long samples. */
+/** Steps of a model that are open at the same time: the earlier step still waits for its long samples. */
 const STEPS_OPEN_COUNT = 2
 
 export interface BatchDispatcherOptions {
@@ -89,13 +89,13 @@
     return [...this._tracked.values()].map(({ batch }) => batch)
   }
 
-  /** The lowest version that the engines of a model need for all its open batches; 0 without any. */
+  /** The lowest version that the engines of a model need for all open batches of the model; 0 without an open batch. */
   neededVersion (model: string): number {
     const versions = this.batches().filter(({ submission }) => submission.model === model).map(({ submission }) => submission.minVersion)
     return Math.max(0, ...versions)
   }
 
-  /** Priority of the most urgent open batch of a model; undefined without any. */
+  /** Priority of the most urgent open batch of a model; undefined without an open batch. */
   priorityOf (model: string): number | undefined {
     const priorities = this.batches().filter(({ submission }) => submission.model === model).map(({ submission }) => submission.priority ?? 0)
     return priorities.length === 0 ? undefined : Math.min(...priorities)
@@ -132,7 +132,7 @@
     }
   }
 
-  /** Writes all output that only this host holds to the replicated state, so that the next leader can continue from it. */
+  /** Writes all output that is stored only on this host to the replicated state, so that the next leader can continue from it. */
   async replicateOutputs (progress: Progress): Promise<void> {
     await progress.race(Promise.all([...this._runs].map(run => run.replicateOutput(progress))))
   }
@@ -168,7 +168,7 @@
     if (!view.routing) return
     const added = state.open().filter(batch => !this._tracked.has(batch.batchId))
     if (added.length === 0) return
-    // Slots are assigned only after all items were added, so that started and long items of any batch get theirs first.
+    // Slots are assigned only after all items were added, so that started and long items of any batch get their slots first.
     this._slots.assignAfter(() => {
       for (const batch of added) this._startBatch(batch)
     })
--- a/src/batches/batchReports.ts
+++ b/src/batches/batchReports.ts
@@ -1,5 +1,5 @@
 /**
- * Reports on the batches that the batch store holds: gauges, and a log line for
+ * Reports on the batches in the batch store: gauges, and a log line for
  * each batch that expired or that was requested and is unknown.
  */
 import { LRUCache } from 'lru-cache'
@@ -26,7 +26,7 @@
   logger.event(BatchEvent.BatchExpired, { batchId, acceptedAtMs, decidedAtMs, keptMs, isEnded, listedCount: results.length })
 }
 
-/** Logs each batch once that was requested and is not held by this replica. */
+/** Logs each batch once that was requested and is not stored on this replica. */
 export class UnknownBatchReporter {
   private readonly _replica: Replica
   private readonly _logger: Logger
--- a/src/batches/batchService.ts
+++ b/src/batches/batchService.ts
@@ -1,7 +1,7 @@
 /**
  * The calls of the batch store for entry hosts. The leader accepts changes. Every
  * replica answers reads after the leader has confirmed the index up to which the
- * log was committed when the read began. Results therefore cross data centres once,
+ * log was committed when the read began. Results therefore cross data centres only once,
  * by replication, however often they are read.
  */
 import { BatchCommandKind, type BatchCommandResult, type BatchSubmission, type ItemResult } from '../protocol/batches.js'
@@ -175,7 +175,7 @@
   }
 }
 
-/** A page of results from a position on, with at least one result if there is any. */
+/** A page of results from a position on, with at least one result if any result follows. */
 function pageOf (batch: Batch, fromPosition: number): ReadResultsReply {
   const results: ItemResult[] = []
   let lengthBytes = 0
--- a/src/batches/batchState.ts
+++ b/src/batches/batchState.ts
@@ -36,7 +36,7 @@
 /** Results or outputs in one piece of a snapshot: at a few kilobytes each, half a megabyte at most. */
 const PIECE_ITEMS_COUNT = 64
 
-/** The latest order to load weights that a leader announced for an engine. */
+/** The latest weight load order that a leader announced for an engine. */
 interface AnnouncedOrder {
   endpointId: string
   holder: string
@@ -60,7 +60,7 @@
 
 /** Notified of changes to the state of this replica, also when they come from a snapshot. */
 export interface BatchStateListener {
-  /** A leader announced an order to load weights. */
+  /** A leader announced a weight load order. */
   onOrder: (endpointId: string, holder: string, lanesCount: number | undefined) => void
   /** A trainer published a version of its weights. */
   onNamed: (weights: NamedWeights) => void
@@ -73,14 +73,14 @@
 const noListener: BatchStateListener = { onOrder: () => {}, onNamed: () => {} }
 
 export class BatchState implements ReplicatedState<BatchCommand, BatchCommandResult> {
-  /** Orders to the infrastructure for engines. */
+  /** Engine orders sent to the infrastructure. */
   readonly supply = new SupplyLedger()
   private readonly _batches = new Map<string, Batch>()
   /** Completed results by item key, for items that are submitted again in a later batch. */
   private readonly _completed = new Map<string, CompletedItem>()
 
   private readonly _unfinished = new Map<string, UnfinishedOutput>()
-  /** Latest order by engine, in the order of their announcement. */
+  /** Latest order by engine, in the sequence of the announcements. */
   private readonly _orders = new Map<string, { holder: string, lanesCount: number | undefined }>()
   /** The newest published version of each model. */
   private readonly _weights = new Map<string, number>()
@@ -95,7 +95,7 @@
     return this.heldBytesAt(Number.NEGATIVE_INFINITY)
   }
 
-  /** Estimated memory in bytes without what has expired at an instant; the next submission removes that. */
+  /** Estimated memory in bytes without the batches and outputs that have expired at an instant; the next submission removes these. */
   heldBytesAt (atMs: number): number {
     let heldBytes = 0
     for (const batch of this._batches.values()) heldBytes += batch.isExpired(atMs) ? 0 : batch.heldBytes
@@ -139,7 +139,7 @@
     return [...this._batches.values()].filter(batch => !batch.isEnded)
   }
 
-  /** The completed result of an item with the same reward call in any batch of the account that is still held. */
+  /** The completed result of an item with the same reward call in any batch of the account that is still stored. */
   completedResult ({ itemId, reward }: BatchItem, account?: string): ItemResult | undefined {
     const completed = this._completed.get(itemKeyOf(account, itemId))
     return completed && completed.rewardId === reward?.rewardId ? completed.result : undefined
@@ -169,7 +169,7 @@
   }
 
   /**
-   * Yields one batch after the other, then the rest in lists of small values. The
+   * Yields one batch after the other, then the other state in lists of small values. The
    * arrays are copied here and their elements are never mutated, so commands that
    * are applied later do not change the pieces.
    */
@@ -182,7 +182,7 @@
     return { [Symbol.iterator]: () => piecesOf(batches, outputs, orders, weights, supply) }
   }
 
-  /** Replaces received results by equal ones that are already held; results are immutable. */
+  /** Replaces received results by equal results that are already stored, which saves memory; results are immutable. */
   reuse (piece: unknown): unknown {
     const received = piece as SnapshotPiece
     if (received.kind !== 'results') return received
--- a/src/batches/batchTimes.ts
+++ b/src/batches/batchTimes.ts
@@ -13,7 +13,7 @@
 
 /** Times that all items of a batch share, by this host's monotonic clock. */
 export interface BatchTimes {
-  /** When the results are due; once that has passed, when they are last of use. */
+  /** When the results are due; once that time has passed, the last time at which the results are of use. */
   dueAtMs: number
   /** From this time on, an item may be abandoned. */
   abandonAtMs: number
--- a/src/batches/engineFleet.ts
+++ b/src/batches/engineFleet.ts
@@ -1,6 +1,6 @@
 /**
  * The engines as the leader of the batch store sees them: the runs on each, the
- * pace of their events, and the weight versions that each holds. Only the leader
+ * time per event, and the weight versions loaded on each engine. Only the leader
  * sends runs to engines, so its own count of runs is their load.
  */
 import type { EndpointHealth } from '../endpoints/endpointHealth.js'
@@ -10,15 +10,15 @@
 import type { Clock } from '../utils/clock.js'
 import { EnginePace } from './enginePace.js'
 
-/** Version that an engine holds when it starts. */
+/** Weight version that is loaded on an engine when the engine starts. */
 const INITIAL_VERSION = 1
 
 export class Engine {
   endpoint: FleetEndpoint
   runningCount = 0
-  /** Tokens that its runs are expected to occupy in its KV cache. */
+  /** Tokens that the runs of the engine are expected to occupy in its KV cache. */
   reservedTokensCount = 0
-  /** The weight load in progress, or one whose outcome is not known yet. */
+  /** The weight load in progress, or a weight load whose outcome is not known yet. */
   load: { model: string, version: number } | undefined
   readonly pace: EnginePace
   readonly health: EndpointHealth
@@ -57,12 +57,12 @@
     this._versions.set(model, version)
   }
 
-  /** Whether it accepts new runs, regardless of free slots. */
+  /** Whether the engine accepts new runs, regardless of free slots. */
   get isHealthy (): boolean {
     return this.health.isAvailable && !this.health.isFull
   }
 
-  /** Whether it accepts new runs of a model, regardless of free slots. A load blocks only its own model. */
+  /** Whether the engine accepts new runs of a model, regardless of free slots. A weight load blocks only the model that it loads. */
   acceptsRuns (model: string): boolean {
     return this.isHealthy && this.load?.model !== model
   }
--- a/src/batches/enginePace.ts
+++ b/src/batches/enginePace.ts
@@ -1,21 +1,21 @@
 /**
  * How fast an engine produces events. Two estimates separate a lasting property
- * of the engine from a temporary slowdown: the baseline pace comes from the
- * faster seconds of the last minute, the current pace from the last few hundred
+ * of the engine from a temporary slowdown: the baseline time per event comes from the
+ * faster seconds of the last minute, the current time per event from the last few hundred
  * milliseconds.
  *
  * The baseline is needed to judge an engine that was idle. Without it, an engine
- * that needs 48 ms for an event where others need 38 counts as average whenever
+ * that needs 48 ms for an event where others need 38 ms counts as average whenever
  * it is idle, and gets the longest sample, which then ends 1.8 s later
  * (187 events).
  */
 import type { Clock } from '../utils/clock.js'
 
-/** Weight of a new gap in the running mean: it covers about twenty gaps, 70 ms of an engine with eleven runs. */
+/** Weight of a new gap in the running mean: the mean covers about twenty gaps, 70 ms of an engine with eleven runs. */
 const GAP_WEIGHT = 0.05
-/** Fewer gaps are not representative: events may be read together, or one may follow a lost packet. */
+/** Fewer gaps are not representative: events may be read together, or an event may follow a lost packet. */
 const MIN_CURRENT_GAPS_COUNT = 4
-/** The current pace expires when no event updates it for this long. Temporary slowdowns last some seconds. */
+/** The current time per event expires when no event updates it for this long. Temporary slowdowns last some seconds. */
 const CURRENT_PACE_TTL_MS = 4_000
 /** Gaps are averaged over a second: long enough that one delayed packet has little effect, short compared with a temporary slowdown. */
 const BUCKET_MS = 1_000
@@ -38,7 +38,7 @@
 export class EnginePace {
   private readonly _clock: Clock
   private _currentMs: number | undefined
-  /** Consecutive gaps behind the current pace. */
+  /** Number of consecutive gaps averaged in the current time per event. */
   private _currentGapsCount = 0
   private _updatedAtMs = Number.NEGATIVE_INFINITY
   private _bucket: Bucket | undefined
@@ -79,7 +79,7 @@
 
   /**
    * The engine was slower than its baseline when it last ran anything, and the
-   * current pace has expired. Only another run shows whether the slowdown is over.
+   * current time per event has expired. Only another run shows whether the slowdown is over.
    */
   get needsProbe (): boolean {
     if (!this._isCurrentExpired() || this._currentMs === undefined) return false
--- a/src/batches/heldBytes.ts
+++ b/src/batches/heldBytes.ts
@@ -1,5 +1,5 @@
 /**
- * Estimated memory of the parts of the batch store's state in bytes. The estimate
+ * Estimated memory in bytes of the components of the batch store's state. The estimate
  * depends on the values alone, so that all replicas agree on it: bytes of bodies and
  * outputs, characters of strings, and a fixed overhead for the objects around them.
  * The overheads come from `node --expose-gc dist/bench/batchMemory/main.js KIND` on
@@ -8,13 +8,13 @@
  */
 import type { BatchItem, BatchSubmission, ItemResult, OutputPart } from '../protocol/batches.js'
 
-/** An open item with its reward call and six header strings: 1,248 measured with KIND `item`. */
+/** An open item with its reward call and six header strings: 1,248 bytes measured per item with KIND `item`. */
 export const ITEM_OVERHEAD_BYTES = 1_250
-/** A result with its entry in the list, without its parts: 483 measured with KIND `result`. */
+/** A result with its entry in the list, without its parts: 483 bytes measured per result with KIND `result`. */
 export const RESULT_OVERHEAD_BYTES = 500
-/** A part of an output: 312 measured with KIND `part`, which gives 7,973 for a result of 24 parts. */
+/** A part of an output: 312 bytes measured per part with KIND `part`, which gives 7,973 bytes for a result of 24 parts. */
 export const PART_OVERHEAD_BYTES = 310
-/** A batch without items: 1,003 measured with KIND `batch`. */
+/** A batch without items: 1,003 bytes measured per batch with KIND `batch`. */
 export const BATCH_OVERHEAD_BYTES = 1_000
 
 export function heldBytesOfItem ({ itemId, path, headers, body, groupId, model, reward }: BatchItem): number {
--- a/src/batches/itemOrder.ts
+++ b/src/batches/itemOrder.ts
@@ -10,7 +10,7 @@
   dueAtMs: number
   /** Part of its output exists already. */
   isStarted: boolean
-  /** It was already submitted in an earlier batch; its trainer waits for it first. */
+  /** The item was already submitted in an earlier batch; its trainer waits for this item first. */
   isCarriedOver: boolean
   /** Tokens still to be generated, by the submitter's estimate. */
   remainingTokensCount: number
@@ -18,7 +18,7 @@
   priority: number
 }
 
-/** Assumed time per token until the pace of an engine is known: the engines of both known deployments need 38 to 41 ms for events of 52 and 54 tokens. */
+/** Assumed time per token until the time per event of an engine is known: the engines of both known deployments need 38 to 41 ms for events of 52 and 54 tokens. */
 export const ASSUMED_TOKEN_MS = 0.77
 
 /** Delay of an item's place in the order for each level of priority: half the time of an event. */
@@ -50,7 +50,7 @@
 
 /** Relative slowdown of an engine by a full decoding batch: 37 ms per event for a single run, 42 ms beside eleven others with their prompts. */
 const FULL_BATCH_SLOWDOWN = 0.13
-/** Relative cost added for an engine whose pace or health is uncertain, so that it is only tried when the others are full. */
+/** Relative cost added for an engine whose time per event or health is uncertain, so that the engine is only tried when the others are full. */
 const UNCERTAINTY_COST = 0.2
 
 /** Expected time between two events of a run at an engine, regardless of its present load. */
@@ -76,7 +76,7 @@
 }
 
 /**
- * Cost of running an item on an engine, in milliseconds per event, from the pace,
+ * Cost of running an item on an engine, in milliseconds per event, from the time per event,
  * the runs and the used memory of the engine. Memory has little weight until it runs
  * short; an engine that runs out of memory restarts its newest run from the beginning.
  */
@@ -102,7 +102,7 @@
 export interface SlotChoice {
   /** Expected time per event of the best engine with a free slot. */
   freeGapMs: number
-  /** Expected time per event of the best engine of all, which is full. */
+  /** Expected time per event of the best engine, which has no free slot. */
   fullGapMs: number
   remainingEventsCount: number
   /** Time for which the item has already waited. */
@@ -117,7 +117,7 @@
  * free slot. It waits at most for the time that it would lose on the slower engine,
  * so that waiting and losing together cost at most twice the better choice. A sample
  * of 187 events ends 1.9 s earlier on an engine that needs 38 ms per event than on
- * one that needs 48 ms, and a full engine should free a slot every 70 ms (twelve
+ * one that needs 48 ms, while a full engine should free a slot every 70 ms (twelve
  * slots, 0.84 s per sample).
  */
 export function shouldWaitForFaster ({ freeGapMs, fullGapMs, remainingEventsCount, waitedMs }: SlotChoice): boolean {
@@ -129,7 +129,7 @@
 const MOVE_RATIO = 1.22
 /** A run that gains less than this stays: a move processes the prompt and the generated text again, which takes about 20 ms, and loses an event in transit. */
 const MIN_MOVING_GAIN_MS = 300
-/** A run is expected to generate at least this share of its events once more, as hints are often far off: 0.9 was seen after 40 events, 0.5 after 80. */
+/** A run is expected to generate at least this share of its events once more, as hints are often far off: a share of 0.9 was seen after 40 events, 0.5 after 80 events. */
 const EXPECTED_REMAINING_SHARE = 0.75
 
 /** Progress and expected length of a run, in events. */
@@ -162,7 +162,7 @@
   return fromGapMs - toGapMs
 }
 
-/** Expected time per event of an engine with one more run; undefined when its pace is unknown or uncertain. */
+/** Expected time per event of an engine with one more run; undefined when the present time per event is unknown or uncertain. */
 function gapWithOneMoreMs (engine: Engine): number | undefined {
   const { currentGapMs: presentGapMs, baselineGapMs: naturalGapMs, needsProbe: isInDoubt } = engine.pace
   if (presentGapMs !== undefined) return presentGapMs
--- a/src/batches/itemRun.ts
+++ b/src/batches/itemRun.ts
@@ -30,11 +30,11 @@
 import { RewardScoring } from './rewardScoring.js'
 import { ItemStage } from './stepReports.js'
 
-/** A run checks for a faster engine each time it has received this many events. */
+/** A run checks for a faster engine each time the run has received this many further events. */
 const MOVE_CHECK_EVENTS_COUNT = 4
 /** Close reason of a run that moves to another engine. */
 const MOVED = 'moved to a faster engine'
-/** Pause after a failed run, so that a broken engine is not called in a tight loop; doubled after each further failure that engines answered. */
+/** Pause after a failed run, so that a broken engine is not called in a tight loop; the pause doubles after each further failure that an engine answered. */
 const RETRY_PAUSE_MS = 30
 const MAX_RETRY_PAUSE_MS = 1_000
 /** An item that too few different engines have tried is abandoned after this many times the failures that its route allows. */
@@ -124,7 +124,7 @@
     return this._failures.endpointsCount > 0 || this._quarantineStatus() === QuarantineStatus.OnProbation
   }
 
-  /** Whether the item has failed at an engine, which is then only used if no other one fits. */
+  /** Whether the item has failed at an engine, which is then only used if no other engine fits. */
   avoids ({ id }: Engine): boolean {
     return this._failures.hasFailedAt(id)
   }
@@ -144,7 +144,7 @@
     return this.output.lastEventId > 0
   }
 
-  /** Expected tokens less those of the received events. */
+  /** Expected tokens of the item less the tokens of the received events. */
   get remainingTokensCount (): number {
     return Math.max(0, this.item.expectedTokensCount - this.output.lastEventId * this._options.tokensPerEvent(this))
   }
@@ -172,7 +172,7 @@
       this.stage = ItemStage.Queued
       const engine = await this._options.acquire(this, this.times.abandonAtMs, scope)
       if (!engine) return false
-      // While the item waited for the slot, its quarantine status or that of other runs at the engine may have changed.
+      // While the item waited for the slot, the quarantine status of the item or of other runs at the engine may have changed.
       if (!this.mayRunOn(engine)) {
         this._options.release(this, engine)
         await sleepUntil(clock, scope, clock.nowMs() + RETRY_PAUSE_MS)
@@ -245,7 +245,7 @@
     const startedAtMs = this._options.clock.nowMs()
     try {
       const outcome = await this._attempt(engine, scope)
-      // Recorded before the slot is released and another run may get it.
+      // The outcome is recorded before the slot is released, because another run may then get the slot.
       recordOutcome(outcome, { engine, startedAtMs, failures: this._failures, markRemoved: this._options.markRemoved })
       return outcome
     } finally {
@@ -347,7 +347,7 @@
     return { itemId: this.item.itemId, state: ResultState.Abandoned, parts: [], versions: [] }
   }
 
-  /** Waits for the score and returns the result; an abandoned one if there is no score. */
+  /** Waits for the score and returns the result; an abandoned result if there is no score. */
   private async _score (scope: Scope): Promise<ItemResult> {
     const { reward, itemId } = this.item
     const result = { itemId, parts: [], versions: this.output.versions, state: ResultState.Completed }
--- a/src/batches/loadConcurrency.ts
+++ b/src/batches/loadConcurrency.ts
@@ -13,17 +13,17 @@
 
 /** Limit of the first leader: one load at a time leaves the store underused in every measured deployment. */
 const INITIAL_LIMIT = 2
-/** Until a load has completed: 0.9 s as specified for all deployments, and 0.1 s until a report shows its end. */
+/** Load duration assumed until a weight load has completed: 0.9 s as specified for all deployments, and 0.1 s until a report shows its end. */
 const ASSUMED_LOAD_MS = 1_000
-/** Loads below this ratio to the shortest one ran at full speed: reports show an end up to 150 ms late. */
+/** Weight loads whose duration is below this ratio to the shortest duration ran at full speed: reports show an end up to 150 ms late. */
 const FULL_SPEED_RATIO = 1.2
-/** Loads above this ratio to the shortest one slowed each other down. */
+/** Weight loads whose duration is above this ratio to the shortest duration slowed each other down. */
 const SLOWED_RATIO = 1.3
 /** Consecutive slowed loads, on different engines, before the limit drops: a slow engine or an end that is reported late says nothing about the store. */
 const MIN_SLOWED_LOADS_COUNT = 2
 /** Tolerance for the shortest load, whose end may have been reported late by one polling interval as well. */
 const CONCLUSIVE_TOLERANCE_RATIO = 1.05
-/** Loads at full speed that confirm the limit. One is not enough: when it started, another load may have just ended without a report that shows it. */
+/** Loads at full speed that confirm the limit. One load is not enough: when that load started, another load may have just ended without a report that shows it. */
 const MIN_FULL_SPEED_LOADS_COUNT = 2
 /** Time without an increase after a slowdown; it doubles with each further slowdown. An increase that fails costs one load half a second. */
 const INITIAL_BACKOFF_MS = 5_000
@@ -33,9 +33,9 @@
 export interface TimedLoad {
   engineId: string
   startedAtMs: number
-  /** Loads in progress when it started, including itself. */
+  /** Weight loads in progress when this load started, including this load. */
   concurrentAtStartCount: number
-  /** Maximum of concurrent loads until it ended. */
+  /** Maximum of concurrent weight loads until this load ended. */
   peakConcurrentCount: number
 }
 
@@ -49,7 +49,7 @@
   private _increaseAllowedAtMs = Number.NEGATIVE_INFINITY
   private _backoffMs = INITIAL_BACKOFF_MS
   private _fullSpeedCount = 0
-  /** Estimates of the loads that the store sustains, by engine whose load was slowed since the last one at full speed. */
+  /** Estimates of the loads that the store sustains, by the engine whose weight load was slowed; only those since the last load at full speed. */
   private readonly _sustainableCounts = new Map<string, number>()
 
   /** @param sustainedCount concurrent loads that the store sustained under an earlier leader */
@@ -86,7 +86,7 @@
     return load
   }
 
-  /** @param isLoaded the engine holds the version; the durations of other loads are ignored */
+  /** @param isLoaded the version is loaded on the engine; the durations of other loads are ignored */
   end (load: TimedLoad, isLoaded: boolean): void {
     this._active.delete(load)
     if (isLoaded) this._recordDuration(load, this._clock.nowMs() - load.startedAtMs)
@@ -106,7 +106,7 @@
   private _recordSlowdown (engineId: string, sustainableCount: number, concurrentAtStartCount: number): void {
     this._sustainableCounts.set(engineId, sustainableCount)
     const isAboveSustained = concurrentAtStartCount > this._sustainedCount
-    // Ends are reported late, never early: a load that is slowed less was not limited by a store at its sustained number.
+    // Ends are reported late, never early: a load that is slowed less than that was not limited by the store at its sustained number of loads.
     const isConclusive = isAboveSustained && sustainableCount <= CONCLUSIVE_TOLERANCE_RATIO * this._sustainedCount
     if (!isConclusive && this._sustainableCounts.size < MIN_SLOWED_LOADS_COUNT) return
     this._reduceTo(isAboveSustained ? this._sustainedCount : Math.max(1, Math.round(Math.max(...this._sustainableCounts.values()))))
@@ -121,7 +121,7 @@
     this._backoffMs = Math.min(MAX_BACKOFF_MS, 2 * this._backoffMs)
   }
 
-  /** Raises the limit by half until the first slowdown, so that a large one is found in seconds; by one after that. */
+  /** Raises the limit by half until the first slowdown, so that a large limit is found in seconds; by one after the first slowdown. */
   private _recordFullSpeed (): void {
     this._fullSpeedCount++
     if (this._fullSpeedCount < MIN_FULL_SPEED_LOADS_COUNT || this._clock.nowMs() < this._increaseAllowedAtMs) return
--- a/src/batches/modelDemand.ts
+++ b/src/batches/modelDemand.ts
@@ -6,12 +6,12 @@
 import type { Clock } from '../utils/clock.js'
 import type { SubmissionHead } from './batch.js'
 
-/** Until steps show otherwise: trainers that train on the previous step. */
+/** Staleness assumed until steps show otherwise: trainers that train on the previous step. */
 const ASSUMED_STALENESS_VERSIONS = 1
-/** Steps over which the staleness is taken: the first ones of a job allow less, because there is no older version. */
+/** Steps over which the staleness is taken: the first steps of a job allow less, because there is no older version. */
 const STALENESS_WINDOW_STEPS = 3
 
-/** Named versions over which the interval is averaged, so that a single late one has little effect. */
+/** Named versions over which the interval is averaged, so that a single late version has little effect. */
 const INTERVAL_WINDOW_NAMINGS = 4
 
 interface NamedVersion {
@@ -35,7 +35,7 @@
     this._clock = clock
   }
 
-  /** Records the newest version that a trainer has named; may be called repeatedly with the same one. */
+  /** Records the newest version that a trainer has named; may be called repeatedly with the same version. */
   recordNamedVersion (model: string, version: number): void {
     const demand = this._demandOf(model, version)
     if (version <= demand.namedVersion) return
--- a/src/batches/orderHistory.ts
+++ b/src/batches/orderHistory.ts
@@ -9,7 +9,7 @@
 
 export interface AnnouncedOrder {
   holder: string
-  /** When this replica applied it: no earlier than the announcement itself. */
+  /** When this replica applied the announcement: no earlier than the announcement was made. */
   recordedAtMs: number
 }
 
@@ -28,7 +28,7 @@
     this._latestOrders.set(name, { holder, recordedAtMs: this._clock.nowMs() })
   }
 
-  /** Concurrent loads that the weight store sustained under the leader that announced last; undefined when no announcement has the number. */
+  /** Concurrent loads that the weight store sustained under the leader that announced last; undefined when no announcement carries this number. */
   get lanesCount (): number | undefined {
     return this._sustainedLoadsCount
   }
--- a/src/batches/outputReplicator.ts
+++ b/src/batches/outputReplicator.ts
@@ -27,7 +27,7 @@
   batchId: string
   itemId: string
   output: ItemOutput
-  /** Called when events were not written, or when that is unknown; with the last event id before them. */
+  /** Called when events were not written, or when the outcome of their write is unknown; with the last event id before these events. */
   onNotReplicated: (afterEventId: number, outcome: string) => void
 }
 
@@ -39,7 +39,7 @@
     this._options = options
   }
 
-  /** Called after events were added; starts a write once there are enough. */
+  /** Called after events were added; starts a write once enough events are not in the replicated state yet. */
   replicateIfEnough (scope: Scope): void {
     if (this._replicating || this._options.output.unreplicatedCount < this._eventsPerWrite()) return
     this._replicating = this._replicateNew(scope).catch(error => {
--- a/src/batches/placementSelector.ts
+++ b/src/batches/placementSelector.ts
@@ -1,7 +1,7 @@
 /**
  * Selects the service at which each item runs: at random by the weights of its route,
  * as for requests, among the services whose engines have its model. While the selected
- * service has no engine that accepts work, another one of them is used instead.
+ * service has no engine that accepts work, another of these services is used instead.
  */
 import type { FleetView } from '../fleet/fleetView.js'
 import { chooseService } from '../gateway/routeTable.js'
--- a/src/batches/rewardScoring.ts
+++ b/src/batches/rewardScoring.ts
@@ -23,7 +23,7 @@
 const HTTP_OK_MAX = 299
 
 export type RewardScore =
-  /** The receipt of the endpoint that scored it. */
+  /** The receipt of the endpoint that scored the sample. */
   | { kind: 'scored', receipt: string }
   /** No further attempt is allowed. */
   | { kind: 'lost' }
--- a/src/batches/runOutcome.ts
+++ b/src/batches/runOutcome.ts
@@ -9,17 +9,17 @@
 
 export type RunOutcome =
   | ItemOutcome
-  /** It continues at a faster engine. */
+  /** The item continues at a faster engine. */
   | { kind: 'moved' }
-  /** The engine accepted it but sent no event, so it is unknown whether it started. */
+  /** The engine accepted the run but sent no event, so it is unknown whether the run started. */
   | { kind: 'notBegun', reason: string }
-  /** This host ended it because its output does not fit the batch; the engine is not at fault. */
+  /** This host ended the run because the output does not fit the batch; the engine is not at fault. */
   | { kind: 'unusable', reason: string }
 
 export interface EndedRun {
   engine: Engine
   startedAtMs: number
-  /** Failures of its item at all engines. */
+  /** Failures of the item of the run at all engines. */
   failures: FailureAttribution
   /** Called when another endpoint answers at the address of the engine. */
   markRemoved: (endpointId: string) => void
--- a/src/batches/slotAssignment.ts
+++ b/src/batches/slotAssignment.ts
@@ -16,7 +16,7 @@
 import { StartPacing } from './startPacing.js'
 import { WaitReason } from './stepReports.js'
 
-/** Interval between steps until that of the trainer was seen; the trainers of both known deployments submit a step every four seconds. */
+/** Interval between steps, assumed until the interval of the trainer was observed; the trainers of both known deployments submit a step every four seconds. */
 const ASSUMED_STEP_INTERVAL_MS = 4_000
 /** Time reserved before an engine is removed, since the notice of its removal arrives some tens of milliseconds late. */
 const LEAVING_MARGIN_MS = 250
@@ -88,7 +88,7 @@
     return healthy.some(engine => engine.canStartRun(run.item.model)) ? WaitReason.Turn : WaitReason.NoSlot
   }
 
-  /** Assigns slots only after all items were added, so that the most urgent of them gets the first one. */
+  /** Assigns slots only after all items were added, so that the most urgent item gets the first slot. */
   assignAfter (addItems: () => void): void {
     this._isPaused = true
     addItems()
@@ -131,7 +131,7 @@
     this.assign()
   }
 
-  /** Frees the slot that is reserved for a run, if there is one. */
+  /** Frees the slot that is reserved for a run, if a slot is reserved. */
   releaseReservation (run: ItemRun): void {
     const engine = this._reserved.get(run)
     if (!engine) return
@@ -152,7 +152,7 @@
     }
   }
 
-  /** Time from its notice until a leaving engine is removed; undefined for other engines. */
+  /** Time from the notice of removal of an engine until its removal; undefined for other engines. */
   private _leavesInMs ({ id }: Engine): number | undefined {
     const endpoint = this._options.view.endpoint(id)
     return endpoint?.lifecycle === EndpointLifecycle.Leaving ? endpoint.leavesInMs : undefined
@@ -201,7 +201,7 @@
   }
 
   /**
-   * Gives a free slot to the run on a slower engine that gains most by it, ahead of
+   * Gives a free slot to the run on a slower engine that gains most by moving, ahead of
    * waiting items, which get the slot that the run leaves. The longest samples
    * determine when a step ends.
    */
@@ -258,7 +258,7 @@
     return engine.version(run.item.model) >= run.batch.submission.minVersion
   }
 
-  /** Whether an engine accepts new runs; a leaving one only finishes those it has. */
+  /** Whether an engine accepts new runs; an engine with a notice of removal only finishes its present runs. */
   private _isReady (engine: Engine): boolean {
     return this._options.view.endpoint(engine.id)?.lifecycle === EndpointLifecycle.Ready
   }
@@ -271,7 +271,7 @@
     }
   }
 
-  /** Remaining events by the hint of the submitter. */
+  /** Remaining events of an item, estimated from the hint of the submitter. */
   private _hintedRemainingEventsCount (run: ItemRun): number {
     return run.remainingTokensCount / this._tokensPerEvent(run)
   }
--- a/src/batches/slotSharing.ts
+++ b/src/batches/slotSharing.ts
@@ -19,7 +19,7 @@
 
 /** Hints are right at the median. With a spread of 0.5, as in the known deployments, 29 of 30 samples should be shorter than this many times their hint (calculated). */
 const HINT_ERROR_FACTOR = 2.5
-/** Events added to that, for hints of a few events; an item that starts too late delays its whole group. */
+/** Events added to the product of hint and factor, for hints of a few events; an item that starts too late delays its whole group. */
 const HINT_ERROR_EVENTS_COUNT = 40
 
 /** The time until which the start of an item can be deferred without delaying its batch, allowing for errors of its hint. */
--- a/src/batches/stallDetector.ts
+++ b/src/batches/stallDetector.ts
@@ -1,7 +1,7 @@
 /**
  * Ends a run whose engine stalls. The timeout depends on the engine: eight of its
  * usual gaps between events, so that a crash costs a long sample less than half a
- * second and a slow engine is not abandoned for its pace.
+ * second and a slow engine is not abandoned for its time per event.
  */
 import type { Clock } from '../utils/clock.js'
 import type { Scope } from '../utils/scope.js'
@@ -44,10 +44,10 @@
     return this._eventsCount
   }
 
-  /** Restarts the timeout after an event, and adds the gap before the event to the pace of the engine. */
+  /** Restarts the timeout after an event, and adds the gap before the event to the time per event of the engine. */
   recordEvent (): void {
     const nowMs = this._clock.nowMs()
-    // The time to the first event depends on the prompt, and an overloaded host reads events late; neither is part of the pace.
+    // The time to the first event depends on the prompt, and an overloaded host reads events late; neither delay is part of the time per event.
     if (this._eventsCount > 0 && !this._isOverloaded()) this._pace.recordGap(nowMs - this._lastEventAtMs)
     this._eventsCount++
     this._lastEventAtMs = nowMs
--- a/src/batches/startPacing.ts
+++ b/src/batches/startPacing.ts
@@ -1,7 +1,7 @@
 /**
  * Limits how many runs a leader starts at a time. Late timers show that its processor
- * is overloaded; while they are late, the leader starts and moves no runs, and those
- * in progress come to their end.
+ * is overloaded; while timers are late, the leader starts and moves no runs; runs
+ * in progress continue to their end.
  *
  * This guards against steps of several trainers that start at once and saturate the
  * processor of the leader: about four hundred items for 250 slots needed two to three
@@ -14,7 +14,7 @@
 
 /** Interval between the turns in which runs start. */
 export const TURN_MS = 20
-/** Equals eight hundred starts per second: filling 250 slots takes 0.3 s, a small part of a step. */
+/** Runs started per turn at most, which equals eight hundred starts per second: filling 250 slots takes 0.3 s, a small part of a step. */
 const STARTS_PER_TURN_COUNT = 16
 /** An overloaded leader still starts one run per interval, because the load may not come from runs. */
 const OVERLOADED_START_INTERVAL_MS = 200
--- a/src/batches/stepReports.ts
+++ b/src/batches/stepReports.ts
@@ -23,7 +23,7 @@
   /** Quarantined after engines crashed while running it; sent to no engine. */
   Withheld = 'held_back',
   Scoring = 'scoring',
-  /** Its result is being committed to the replicated log. */
+  /** The result of the item is being committed to the replicated log. */
   Committing = 'committing'
 }
 
--- a/src/batches/storeCapacity.ts
+++ b/src/batches/storeCapacity.ts
@@ -10,7 +10,7 @@
 
 /** Result bytes per expected token, before any result is complete: 400 tokens in 24 parts take 15.6 KB in bench/batchMemory, KIND `part`. */
 const ASSUMED_BYTES_PER_TOKEN = 39
-/** The assumed ratio weighs as much as this number of observed tokens: those of one small step. */
+/** The assumed ratio weighs as much as this number of observed tokens: the tokens of one small step. */
 const ASSUMED_RATIO_WEIGHT_TOKENS = 10_000
 /** A submission with an unknown outcome keeps its reservation this long: no call waits longer for a quorum. */
 const UNKNOWN_OUTCOME_TTL_MS = 10_000
@@ -34,7 +34,7 @@
     this._capacityBytes = capacityBytes
   }
 
-  /** Reserves capacity for a batch that is not stored yet; returns the reason if it does not fit. */
+  /** Reserves capacity for a batch that is not stored yet; returns the reason if the batch does not fit. */
   reserve (submission: BatchSubmission): string | undefined {
     if (this._capacityBytes === undefined || this._isStored(submission.batchId)) return undefined
     this._dropExpiredReservations()
--- a/src/batches/storeProgram.ts
+++ b/src/batches/storeProgram.ts
@@ -60,13 +60,13 @@
   controlAddresses: string[]
   /** How long results can be read after their batch was accepted. */
   keepBatchesMs: number
-  /** Nothing is sent to an endpoint once this time has passed since its leave was confirmed. */
+  /** Nothing is sent to an endpoint once this time has passed since the departure of the endpoint was confirmed. */
   drainMs: number
-  /** Time within which no two hosts may both order an engine. */
+  /** Time within which no two hosts may both send load orders to an engine. */
   orderLeaseMs: number
   /** A replica that is unreachable for this long is removed from the members. */
   strikeSilentAfterMs: number
-  /** Limit of the estimated size of the state; undefined for no limit. Submissions above it are refused. */
+  /** Limit of the estimated size of the state; undefined for no limit. Submissions that would exceed the limit are refused. */
   stateCapacityBytes: number | undefined
   /** Disks that may be lost at the same time. */
   toleratedLosses: number
@@ -82,11 +82,11 @@
   onFatal: (error: unknown) => void
 }
 
-/** A snapshot has all stored batches, some tens of megabytes. Log entries since the last one stay in memory as well: 12 MB of them instead of 24 lower the peak memory of a busy store by 20 to 30 MB (tests/processes/storeMemory). */
+/** A snapshot has all stored batches, some tens of megabytes. Log entries since the last snapshot stay in memory as well: 12 MB of log entries instead of 24 MB lower the peak memory of a busy store by 20 to 30 MB (tests/processes/storeMemory). */
 export const storeSnapshotPolicy: SnapshotPolicy = { everyEntriesCount: 20_000, everyBytes: 12 * 1024 * 1024, keptEntriesCount: 256 }
 /** Source name in the view for versions from the log of the store itself. */
 const STORE_LOG_SOURCE = 'log of the store'
-/** A handover takes a few messages and disk syncs; without one in time, the host stops anyway. */
+/** A handover takes a few messages and disk syncs; without a handover in time, the host stops anyway. */
 const HANDOVER_TIMEOUT_MS = 800
 const SUPPLY_COMMIT_TIMEOUT_MS = 1_000
 
--- a/src/batches/weightLoad.ts
+++ b/src/batches/weightLoad.ts
@@ -21,7 +21,7 @@
 import type { LoadReason } from './weightPlanner.js'
 
 const REPORT_TIMEOUT_MS = 400
-/** An engine that answers at all does so within some milliseconds. */
+/** An engine that answers a load order at all does so within some milliseconds. */
 const ORDER_TIMEOUT_MS = 300
 /** A report may lag behind the engine by some hundred milliseconds. */
 const REPORT_LAG_MS = 200
@@ -31,11 +31,11 @@
 export const MAX_ORDER_TRANSIT_MS = ANNOUNCEMENT_TTL_MS + ORDER_TIMEOUT_MS + 200
 /** Delay before the first poll: a load takes about a second. */
 const FIRST_CHECK_MS = 900
-/** A report is cheap for the engine. A finished load is noticed half an interval late on average, and counts against the limit of concurrent loads until then. */
+/** Polling interval, short because a report is cheap for the engine. A finished load is noticed half an interval late on average, and the load counts against the limit of concurrent loads until then. */
 const CHECK_INTERVAL_MS = 50
 /** After this time a load counts as failed, and the state of the engine is read again. */
 const LOAD_TIMEOUT_MS = 6_000
-/** Delay before the next order after one without effect. */
+/** Delay before the next load order after a load order without effect. */
 const RETRY_PAUSE_MS = 300
 
 export interface WeightLoadOptions {
@@ -83,7 +83,7 @@
     return isLoaded && outcome?.kind === 'underWay'
   }
 
-  /** Waits for the outcome of an order and reports it; true if the engine holds the version. */
+  /** Waits for the outcome of an order and reports it; true if the version is loaded on the engine. */
   private async _settle (requested: RequestedLoad, before: EndpointReport, outcome: OrderOutcome | undefined, scope: Scope): Promise<boolean> {
     const isLoaded = await this._waitForOutcome(requested, before, outcome, scope)
     const { engine, model, version } = requested
@@ -133,10 +133,10 @@
     return await client.orderLoad(engine.endpoint, order, clock.nowMs() + ORDER_TIMEOUT_MS, scope)
   }
 
-  /** True once the announcement is committed, so that every later leader knows the order. */
+  /** Announces the order; true once the announcement is committed, so that every later leader knows the order. */
   private async _announce (engine: Engine, deadlineMs: number, scope: Scope): Promise<boolean> {
     const { clock, replica, holder, sustainedLoadsCount } = this._options
-    // By the name that the engine keeps across restarts: an order in flight may arrive after one.
+    // The engine is identified by the name that it keeps across restarts, since an order in flight may arrive after a restart.
     const command = { kind: BatchCommandKind.AnnounceOrder, endpointId: engine.endpoint.name, holder, lanesCount: sustainedLoadsCount() }
     const outcome = await replica.propose(command, new Progress(clock, scope, deadlineMs))
     return outcome.kind === 'committed'
--- a/src/batches/weightPlanner.ts
+++ b/src/batches/weightPlanner.ts
@@ -16,34 +16,34 @@
 /** The state of an engine that the plan depends on. */
 export interface PlannedEngine {
   engineId: string
-  /** It accepts runs and orders: neither leaving nor suspected. */
+  /** The engine accepts runs and load orders: it is neither about to leave nor suspected of a failure. */
   isAvailable: boolean
-  /** Its recent runs failed, so loading weights on it yields no samples. */
+  /** Recent runs of the engine failed, so a weight load on the engine yields no samples. */
   isFailing: boolean
-  /** No load is in progress there, and no order of an earlier leadership can still arrive. */
+  /** No weight load is in progress on the engine, and no load order of an earlier leadership can still arrive. */
   acceptsOrders: boolean
   /** Expected time between two events of a run. */
   gapMs: number
   slotsCount: number
   freeSlotsCount: number
-  /** The version that it holds of a model, or will hold after the load in progress. */
+  /** The version of a model that is loaded on the engine, or will be loaded after the weight load in progress. */
   versionOf: (model: string) => number
 }
 
 /** The state of a trained model that the plan depends on. */
 export interface PlannedModel {
   model: string
-  /** The newest version that its trainer named. */
+  /** The newest version that the trainer of the model named. */
   namedVersion: number
   /** The oldest version that may produce samples for a step submitted now. */
   neededVersion: number
   /** Waiting items that could start at once on an engine with recent enough weights. */
   waitingCount: number
-  /** Items of the latest step: the slots that the next one will need at once. Undefined before the first step. */
+  /** Items of the latest step: the slots that the next step will need at once. Undefined before the first step. */
   stepItemsCount: number | undefined
   /** Time between two named versions; undefined until observed. */
   versionIntervalMs: number | undefined
-  /** 0 is the most urgent; undefined while the model has no open batch. */
+  /** Priority, where 0 is the most urgent; undefined while the model has no open batch. */
   priority?: number | undefined
 }
 
@@ -72,19 +72,19 @@
   reason: LoadReason
 }
 
-/** Until two named versions were observed: trainers of either deployment name one every four seconds. */
+/** Interval assumed until two named versions were observed: trainers of either deployment name a version every four seconds. */
 const ASSUMED_VERSION_INTERVAL_MS = 4_000
-/** Share of the load capacity that sets are sized to; the rest covers failed loads and lost engines. With 0.6, days with faults earn 0.03 less. */
+/** Share of the load capacity that sets are sized to; the rest covers failed loads and lost engines. With 0.6, days with faults earn 0.03 less of the value of their samples. */
 const PLANNED_LOAD_SHARE = 0.8
 /** Slots of a set, in steps: two steps are open at a time, and only the long samples of the earlier one still run. */
 const ROOM_IN_STEPS = 1.5
-/** Engines beyond the work, so that the loss of one leaves enough slots. */
+/** Engines beyond those that the work needs, so that the loss of one leaves enough slots. */
 const SPARE_ENGINES_COUNT = 1
 /** An engine this many times slower than the fastest finishes no long sample in time. */
 const TOO_SLOW_RATIO = 2
-/** Cost of each other model on an engine, in units of relative slowness: models on one engine share its slots, not its pace, so two others cost less than an engine that is slower by 1.3. */
+/** Cost of each other model on an engine, in units of relative slowness: models on one engine share its slots but do not lengthen its time per event, so two other models cost less than an engine that is slower by 1.3. */
 const SHARING_COST = 0.1
-/** Cost of an engine without a free slot, in units of relative slowness: slots become free within a second, while the pace lasts. */
+/** Cost of an engine without a free slot, in units of relative slowness: slots become free within a second, while the time per event of an engine lasts. */
 const OCCUPIED_COST = 0.2
 
 /**
@@ -106,7 +106,7 @@
   return undefined
 }
 
-/** Available engines that are not failing; all available ones if every one fails. */
+/** Available engines that are not failing; all available engines if all of them fail. */
 function usableEngines (engines: readonly PlannedEngine[]): PlannedEngine[] {
   const available = engines.filter(({ isAvailable }) => isAvailable)
   const succeeding = available.filter(({ isFailing }) => !isFailing)
@@ -149,7 +149,7 @@
 interface LoadNeed {
   model: PlannedModel
   reason: LoadReason
-  /** Engines that the model has, relative to those it should have; the lowest is served first. */
+  /** Engines that the model has, relative to the engines that it should have; the model with the lowest ratio is served first. */
   coverage: number
 }
 
@@ -183,7 +183,7 @@
   return minBy(candidates, engine => loadCost(engine, model, models, fastestMs))
 }
 
-/** Engines with free slots, so that waiting items can start there; all of them if none has one. */
+/** Engines with free slots, so that waiting items can start there; all engines if none has a free slot. */
 function withRoom (engines: PlannedEngine[]): PlannedEngine[] {
   const free = engines.filter(({ freeSlotsCount }) => freeSlotsCount > 0)
   return free.length > 0 ? free : engines
--- a/src/batches/weightRollout.ts
+++ b/src/batches/weightRollout.ts
@@ -38,7 +38,7 @@
   supervisor: Supervisor
   /** Name of this host in orders to engines. */
   holder: string
-  /** Time within which no two hosts may both order an engine. */
+  /** Time within which no two hosts may both send load orders to an engine. */
   orderLeaseMs: number
 }
 
@@ -48,7 +48,7 @@
   private readonly _concurrency: LoadConcurrency
   private readonly _startedAtMs: number
 
-  /** To be created once the state has everything that earlier leaders committed, including their announcements. */
+  /** To be created once the replicated state has everything that earlier leaders committed, including their announcements. */
   constructor (options: WeightRolloutOptions) {
     this._options = options
     this._concurrency = new LoadConcurrency(options.clock, options.orders.lanesCount)
