--- a/src/batches/batch.ts
+++ b/src/batches/batch.ts
@@ -18,7 +18,7 @@
 /** Plain data of a batch, as stored in snapshots. Neither its arrays nor their elements are mutated. */
 export interface BatchRecord {
   submission: SubmissionHead
-  /** Wall clock of the leader when it accepted the batch. */
+  /** Wall clock time of the leader when the leader accepted the batch. */
   acceptedAtMs: number
   keepMs: number
   isEnded: boolean
@@ -33,7 +33,7 @@
 
 export class Batch {
   readonly submission: SubmissionHead
-  /** Wall clock of the leader when it accepted the batch. */
+  /** Wall clock time of the leader when the leader accepted the batch. */
   readonly acceptedAtMs: number
   private readonly _keepMs: number
   private readonly _openItems: Map<string, BatchItem>
--- a/src/batches/batchClient.ts
+++ b/src/batches/batchClient.ts
@@ -25,7 +25,7 @@
 const READ_TIMEOUT_MS = 300
 /** Longest time that one call waits for results at a replica. */
 const MAX_POLL_MS = 300
-/** How long a replica that did not answer a read is not used: the time that control hosts need to detect that it is unreachable. */
+/** How long a replica that did not answer a read is not used: the time that control hosts need to detect an unreachable replica. */
 const SUSPECT_DURATION_MS = 2_000
 
 /** Identifies a batch in a request. */
@@ -50,7 +50,7 @@
   | { kind: 'answered', reply: Exclude<Reply, NotLeader> }
   /** No call took effect. */
   | { kind: 'refused', reason: string, isFinal?: boolean }
-  /** A call was lost or its result is unknown; it may still take effect. */
+  /** A call was lost or its result is unknown; the call may still take effect. */
   | { kind: 'lost', reason: string }
 
 export class BatchClient {
@@ -60,7 +60,7 @@
   private _leaderHint: string | undefined
   private _nextReplica = 0
   private _nextReader = 0
-  /** When each replica that did not answer a read is used again, by address. */
+  /** Time from which each replica that did not answer a read is used again, by address. */
   private readonly _suspectUntilMs = new Map<string, number>()
 
   constructor (view: FleetView, dataCentre: string, transport: Transport, scope: Scope, onFatal: (error: unknown) => void) {
@@ -175,7 +175,7 @@
     return readers[this._nextReader++ % Math.max(1, readers.length)]?.address
   }
 
-  /** The replica that last replied as leader or the one that it named; otherwise alternates between the leader that control hosts report and each replica in turn. */
+  /** The replica that last replied as leader, or the replica that the last reply named as leader; otherwise alternates between the leader that control hosts report and each replica in turn. */
   private _leaderAddress (): string | undefined {
     if (this._leaderHint !== undefined) return this._leaderHint
     const knownLeader = this._view.storeLeader()?.store?.peerAddress
--- a/src/batches/batchReports.ts
+++ b/src/batches/batchReports.ts
@@ -21,7 +21,7 @@
   metrics.gauge(MetricName.OutputsUnfinished, state.unfinishedCount)
 }
 
-/** Logs the removal of an expired batch together with the times that decided it. */
+/** Logs the removal of an expired batch together with the times that led to the removal. */
 export function reportExpired (logger: Logger, { batchId, acceptedAtMs, keptMs, isEnded, results }: Batch, decidedAtMs: number): void {
   logger.event(BatchEvent.BatchExpired, { batchId, acceptedAtMs, decidedAtMs, keptMs, isEnded, listedCount: results.length })
 }
--- a/src/batches/batchState.ts
+++ b/src/batches/batchState.ts
@@ -33,7 +33,7 @@
   | { kind: 'weights', weights: NamedWeights[] }
   | { kind: 'supply', supply: SupplySnapshot }
 
-/** Results or outputs in one piece of a snapshot: at a few kilobytes each, half a megabyte at most. */
+/** Results or outputs in one piece of a snapshot: at a few kilobytes per result, a piece has half a megabyte at most. */
 const PIECE_ITEMS_COUNT = 64
 
 /** The latest weight load order that a leader announced for an engine. */
@@ -46,7 +46,7 @@
 /** Engines whose latest order is kept: many times the engines of any deployment. */
 const MAX_ORDERS_COUNT = 4_096
 
-/** Stored output of an item that is not listed yet; a later leader continues from it. */
+/** Stored output of an item that is not listed yet; a later leader continues the item from this output. */
 interface UnfinishedOutput {
   itemId: string
   /** The client account; absent for none. */
@@ -58,7 +58,7 @@
 /** Unfinished output that has not grown for this long is removed. */
 const UNFINISHED_RETENTION_MS = 30_000
 
-/** Notified of changes to the state of this replica, also when they come from a snapshot. */
+/** Notified of changes to the state of this replica, also of changes that come from a snapshot. */
 export interface BatchStateListener {
   /** A leader announced a weight load order. */
   onOrder: (endpointId: string, holder: string, lanesCount: number | undefined) => void
@@ -66,7 +66,7 @@
   onNamed: (weights: NamedWeights) => void
   /** A batch was added. */
   onBatchAdded?: (batch: Batch) => void
-  /** A batch expired; `decidedAtMs` is the time of the log entry that removed it. */
+  /** A batch expired; `decidedAtMs` is the time of the log entry that removed the batch. */
   onBatchExpired?: (batch: Batch, decidedAtMs: number) => void
 }
 
@@ -107,7 +107,7 @@
     return this._batches.get(batchId)
   }
 
-  /** Stored output of an unfinished item, from the last batch of the account that ran it. */
+  /** Stored output of an unfinished item, from the last batch of the account that contained the item. */
   unfinishedParts (itemId: string, account?: string): OutputPart[] {
     return this._unfinished.get(itemKeyOf(account, itemId))?.parts ?? []
   }
@@ -182,7 +182,7 @@
     return { [Symbol.iterator]: () => piecesOf(batches, outputs, orders, weights, supply) }
   }
 
-  /** Replaces received results by equal results that are already stored, which saves memory; results are immutable. */
+  /** Replaces received results by equal results that are already stored; results are immutable. */
   reuse (piece: unknown): unknown {
     const received = piece as SnapshotPiece
     if (received.kind !== 'results') return received
--- a/src/batches/batchTimes.ts
+++ b/src/batches/batchTimes.ts
@@ -34,7 +34,7 @@
     this._addedAtMs.set(batch, this._clock.nowMs())
   }
 
-  /** Lower bound for the age of a batch: the time since this replica received it, by its own clock. */
+  /** Lower bound for the age of a batch: the time since this replica received the batch, by the clock of the replica. */
   private _observedAgeMs (batch: Batch): number {
     const nowMs = this._clock.nowMs()
     return nowMs - (this._addedAtMs.get(batch) ?? nowMs)
--- a/src/batches/enginePace.ts
+++ b/src/batches/enginePace.ts
@@ -21,12 +21,12 @@
 const BUCKET_MS = 1_000
 /** Buckets with fewer gaps are discarded. */
 const MIN_BUCKET_GAPS_COUNT = 8
-/** Number of buckets kept: enough that a temporary slowdown covers only a minority of them. */
+/** Number of buckets kept: enough that a temporary slowdown covers only a minority of the buckets. */
 const MAX_BUCKETS_COUNT = 60
 /** Quantile of the bucket means that gives the baseline: low, because a slowdown only lengthens gaps. */
 const BASELINE_QUANTILE = 0.2
 
-/** An engine this many times slower than its baseline is slowed down. A full batch alone makes it 1.13 times slower (37 and 42 ms for an event). */
+/** An engine this many times slower than its baseline is slowed down. A full batch alone makes an engine 1.13 times slower (37 and 42 ms for an event). */
 const SLOWED_RATIO = 1.3
 
 interface Bucket {
--- a/src/batches/itemOrder.ts
+++ b/src/batches/itemOrder.ts
@@ -26,7 +26,7 @@
 /** Bound for the delay by priority, so that items of low priority are not starved. */
 const MAX_PRIORITY_SHIFT_MS = 100
 
-/** The latest time at which an item can start and still be complete when it is due. */
+/** The latest time at which an item can start and still be complete when its results are due. */
 export function latestStartAtMs ({ dueAtMs, remainingTokensCount }: WaitingItem, tokenMs: number): number {
   return dueAtMs - remainingTokensCount * tokenMs
 }
@@ -148,13 +148,13 @@
   return isWithinLongest ? Math.min(remainingCount, longestCount - generatedCount) : remainingCount
 }
 
-/** Time that a run saves by moving to another engine; 0 when it should stay. */
+/** Time that a run saves by moving to another engine; 0 when the run should stay. */
 export function movingGainMs (from: Engine, to: Engine, run: RunEstimate): number {
   const gainMs = expectedEventsCount(run) * gainPerEventMs(from, to)
   return gainMs > MIN_MOVING_GAIN_MS ? gainMs : 0
 }
 
-/** Time that a run saves per event by moving to another engine; 0 when both are of one kind. */
+/** Time that a run saves per event by moving to another engine; 0 when both engines are of one kind. */
 export function gainPerEventMs (from: Engine, to: Engine): number {
   const fromGapMs = from.pace.currentGapMs
   const toGapMs = gapWithOneMoreMs(to)
--- a/src/batches/itemRun.ts
+++ b/src/batches/itemRun.ts
@@ -135,7 +135,7 @@
     return status !== QuarantineStatus.Condemned && this._options.quarantine.mayStart(status, endpoint)
   }
 
-  /** Ends the run at the present engine, so that the item continues at another one. */
+  /** Ends the run at the present engine, so that the item continues at another engine. */
   move (): void {
     this._current?.scope.close(MOVED)
   }
@@ -167,7 +167,7 @@
     const { clock } = this._options
     if (this.isStarted) this._log(BatchEvent.ItemReused, { eventsCount: this.output.lastEventId, isWhole: false })
     for (;;) {
-      // No await before `acquire` unless the item is withheld: it has to request a slot in the same turn as the rest of its batch.
+      // No await before `acquire` unless the item is withheld: the item has to request a slot in the same turn as the rest of its batch.
       if (this._isWithheld() && !await this._waitUntilLifted(scope)) return false
       this.stage = ItemStage.Queued
       const engine = await this._options.acquire(this, this.times.abandonAtMs, scope)
@@ -359,7 +359,7 @@
     return score.kind === 'scored' ? { ...result, score: score.receipt } : this._abandonedResult()
   }
 
-  /** Proposes the result until it is listed. The command holds only the events that are not in the replicated state yet. */
+  /** Proposes the result until it is listed. The command contains only the events that are not in the replicated state yet. */
   private async _commit (result: ItemResult, scope: Scope): Promise<void> {
     const { clock, replica } = this._options
     const { batchId } = this.batch
--- a/src/batches/loadConcurrency.ts
+++ b/src/batches/loadConcurrency.ts
@@ -23,9 +23,9 @@
 const MIN_SLOWED_LOADS_COUNT = 2
 /** Tolerance for the shortest load, whose end may have been reported late by one polling interval as well. */
 const CONCLUSIVE_TOLERANCE_RATIO = 1.05
-/** Loads at full speed that confirm the limit. One load is not enough: when that load started, another load may have just ended without a report that shows it. */
+/** Loads at full speed that confirm the limit. One load is not enough: when that load started, another load may have just ended without a report that shows this end. */
 const MIN_FULL_SPEED_LOADS_COUNT = 2
-/** Time without an increase after a slowdown; it doubles with each further slowdown. An increase that fails costs one load half a second. */
+/** Time without an increase of the limit after a slowdown; the time doubles with each further slowdown. An increase that fails costs one load half a second. */
 const INITIAL_BACKOFF_MS = 5_000
 const MAX_BACKOFF_MS = 60_000
 
@@ -106,7 +106,7 @@
   private _recordSlowdown (engineId: string, sustainableCount: number, concurrentAtStartCount: number): void {
     this._sustainableCounts.set(engineId, sustainableCount)
     const isAboveSustained = concurrentAtStartCount > this._sustainedCount
-    // Ends are reported late, never early: a load that is slowed less than that was not limited by the store at its sustained number of loads.
+    // Ends are reported late, never early: a load with a smaller slowdown than a store at its sustained number of loads would cause was not limited by the store.
     const isConclusive = isAboveSustained && sustainableCount <= CONCLUSIVE_TOLERANCE_RATIO * this._sustainedCount
     if (!isConclusive && this._sustainableCounts.size < MIN_SLOWED_LOADS_COUNT) return
     this._reduceTo(isAboveSustained ? this._sustainedCount : Math.max(1, Math.round(Math.max(...this._sustainableCounts.values()))))
--- a/src/batches/outputReplicator.ts
+++ b/src/batches/outputReplicator.ts
@@ -71,7 +71,7 @@
     if (output.generation !== generation) return
     if (answer === 'kept') return output.markReplicated(lastEventId)
     onNotReplicated(afterEventId, answer)
-    // The write failed or its outcome is unknown, so the next one sends all events again.
+    // The write failed or its outcome is unknown, so the next write sends all events again.
     output.resetReplicated()
   }
 }
--- a/src/batches/rewardScoring.ts
+++ b/src/batches/rewardScoring.ts
@@ -14,7 +14,7 @@
 import { Progress } from '../utils/progress.js'
 import type { Scope } from '../utils/scope.js'
 
-/** Time limit for one reward call with its retries; the longest calls of both known deployments take a tenth of this. */
+/** Time limit for one reward call with its retries; the longest calls of both known deployments take a tenth of this limit. */
 const REWARD_TIMEOUT_MS = 2_000
 const RETRY_PAUSE_MS = 50
 /** A quarantined call is sent to no endpoint; this is the interval for checking whether the quarantine was lifted. */
--- a/src/batches/runOutcome.ts
+++ b/src/batches/runOutcome.ts
@@ -39,7 +39,7 @@
       failures.note(engine.id, health, startedAtMs, outcome.status)
       return
     case 'notBegun':
-      // Progress of other runs does not show that the engine starts the runs that it accepts.
+      // Progress of other runs does not show that the engine starts every run that it accepts.
       health.failed(FailureReason.Broken, startedAtMs)
       failures.notStarted(engine.id, health, startedAtMs)
       return
--- a/src/batches/slotAssignment.ts
+++ b/src/batches/slotAssignment.ts
@@ -139,7 +139,7 @@
     engine.removeRun(tokensOf(run))
   }
 
-  /** Moves runs that cannot finish before the removal of their engine, which would interrupt them. */
+  /** Moves runs that cannot finish before the removal of their engine, because the removal would interrupt these runs. */
   moveFromLeavingEngines (): void {
     for (const run of this._options.runs) {
       const { engine } = run
@@ -191,7 +191,7 @@
     this._waiting = remaining
   }
 
-  /** Waiting items in order. Their sort keys do not change while they wait, so the list is sorted only after items were added. */
+  /** Waiting items in order. The sort keys of items do not change while the items wait, so the list is sorted only after items were added. */
   private _sortedWaiting (): WaitingRun[] {
     if (this._isSorted) return this._waiting
     const keyed = this._waiting.map(waiting => ({ waiting, key: sortKeyOf(waiting.run) }))
@@ -225,7 +225,7 @@
     movingRun.move()
   }
 
-  /** Time that a run saves by moving to an engine; 0 when it should stay. */
+  /** Time that a run saves by moving to an engine; 0 when the run should stay. */
   private _gainMs (run: ItemRun, from: Engine, to: Engine): number {
     if (this._reserved.has(run) || !to.acceptsRuns(run.item.model) || !this._fits(run, to) || run.avoids(to)) return 0
     return movingGainMs(from, to, this._estimateOf(run))
@@ -252,7 +252,7 @@
     return this._options.engines.ofService(placement.service).filter(engine => engine.acceptsRuns(run.item.model) && this._fits(run, engine))
   }
 
-  /** Whether an engine belongs to the service of a run and has weights that are new enough for it. */
+  /** Whether an engine belongs to the service of a run and has weights that are new enough for the run. */
   private _fits (run: ItemRun, engine: Engine): boolean {
     if (engine.endpoint.service !== this._options.placementOf(run)?.service) return false
     return engine.version(run.item.model) >= run.batch.submission.minVersion
@@ -295,7 +295,7 @@
   }
 }
 
-/** Copies the properties that determine the order, so that sorting reads them once per item. */
+/** Copies the properties that determine the order, so that sorting reads each property once per item. */
 function sortKeyOf ({ isStarted, isCarriedOver, dueAtMs, remainingTokensCount, priority }: ItemRun): WaitingItem {
   return { isStarted, isCarriedOver, dueAtMs, remainingTokensCount, priority }
 }
--- a/src/batches/stallDetector.ts
+++ b/src/batches/stallDetector.ts
@@ -1,7 +1,7 @@
 /**
  * Ends a run whose engine stalls. The timeout depends on the engine: eight of its
  * usual gaps between events, so that a crash costs a long sample less than half a
- * second and a slow engine is not abandoned for its time per event.
+ * second and a slow engine is not abandoned merely for its longer time per event.
  */
 import type { Clock } from '../utils/clock.js'
 import type { Scope } from '../utils/scope.js'
--- a/src/batches/startPacing.ts
+++ b/src/batches/startPacing.ts
@@ -38,7 +38,7 @@
     return this._dueAtMs
   }
 
-  /** Whether the host is overloaded: the last turn was late, or the next one is overdue. */
+  /** Whether the host is overloaded: the last turn was late, or the next turn is overdue. */
   get isOverloaded (): boolean {
     return this._isLate || this._latenessMs() > OVERLOAD_LATENESS_MS
   }
--- a/src/batches/stepReports.ts
+++ b/src/batches/stepReports.ts
@@ -20,7 +20,7 @@
   Running = 'running',
   /** Pauses after a failed run. */
   Pausing = 'pausing',
-  /** Quarantined after engines crashed while running it; sent to no engine. */
+  /** Quarantined after engines crashed while running the item, which is sent to no engine meanwhile. */
   Withheld = 'held_back',
   Scoring = 'scoring',
   /** The result of the item is being committed to the replicated log. */
@@ -37,7 +37,7 @@
   /** All engines with these weights are ejected after failures, report that they are full, or are loading weights. */
   EnginesUnfit = 'engines_unfit',
   NoSlot = 'no_slot',
-  /** A slot is free, but the item waits for a better one or for its turn. */
+  /** A slot is free, but the item waits for a better slot or for its turn. */
   Turn = 'turn'
 }
 
@@ -69,7 +69,7 @@
 
 export class StepReports<Item extends ReportedItem> {
   private readonly _options: StepReportsOptions<Item>
-  /** Models whose gauges were set; they are reset to 0 once a model has no open step. */
+  /** Models whose gauges were set; the gauges are reset to 0 once a model has no open step. */
   private readonly _models = new Set<string>()
 
   constructor (options: StepReportsOptions<Item>) {
--- a/src/batches/storeMembership.ts
+++ b/src/batches/storeMembership.ts
@@ -23,7 +23,7 @@
 const JOIN_TIMEOUT_MS = 800
 /** A member without contact to a leader for this long asks to join again, in case it was removed. */
 const LEADERLESS_TIMEOUT_MS = 3_000
-/** Short, so that a replica is replaced well before the next loss; a request costs one message each way. */
+/** Interval between requests to join while the leader needs no further replica, short so that a replica is replaced well before the next loss; a request costs one message each way. */
 const NOT_NEEDED_RETRY_MS = 1_000
 /** Answer of a leader that needs no further replica. */
 const NOT_NEEDED = 'notNeeded'
--- a/src/batches/storeProgram.ts
+++ b/src/batches/storeProgram.ts
@@ -62,7 +62,7 @@
   keepBatchesMs: number
   /** Nothing is sent to an endpoint once this time has passed since the departure of the endpoint was confirmed. */
   drainMs: number
-  /** Time within which no two hosts may both send load orders to an engine. */
+  /** Time within which no two hosts may both send load orders to one engine, or both order engines from the infrastructure. */
   orderLeaseMs: number
   /** A replica that is unreachable for this long is removed from the members. */
   strikeSilentAfterMs: number
--- a/src/batches/weightLoad.ts
+++ b/src/batches/weightLoad.ts
@@ -83,7 +83,7 @@
     return isLoaded && outcome?.kind === 'underWay'
   }
 
-  /** Waits for the outcome of an order and reports it; true if the version is loaded on the engine. */
+  /** Waits for the outcome of an order and reports the outcome; true if the version is loaded on the engine. */
   private async _settle (requested: RequestedLoad, before: EndpointReport, outcome: OrderOutcome | undefined, scope: Scope): Promise<boolean> {
     const isLoaded = await this._waitForOutcome(requested, before, outcome, scope)
     const { engine, model, version } = requested
@@ -111,7 +111,7 @@
     }
   }
 
-  /** Whether the engine has accepted an order that it did not answer; true without a report. */
+  /** Whether the engine has accepted an unanswered order; true if no report of the engine arrives. */
   private async _wasAccepted ({ engine, model, version }: RequestedLoad, before: EndpointReport, scope: Scope): Promise<boolean> {
     const { clock } = this._options
     await sleepUntil(clock, scope, clock.nowMs() + REPORT_LAG_MS)
--- a/src/batches/weightPlanner.ts
+++ b/src/batches/weightPlanner.ts
@@ -5,12 +5,12 @@
  * every engine to every version would take longer than a version is current, so
  * each model keeps a set of engines, sized to its work and to the load capacity,
  * and the next load goes where samples cannot start without it. Pure functions:
- * the decision depends on their arguments only.
+ * the decision depends on the arguments only.
  *
  * Measured with three trainers, eight engines and two concurrent loads: half a
- * minute without faults earned 0.91 of the value of its samples instead of 0.82,
+ * minute without faults earned 0.91 of the value of the samples instead of 0.82,
  * days with faults 0.77 instead of 0.59 (three and fifteen test days). Sets of
- * all engines earn 0.03 less than sized ones, with a fifth more loads.
+ * all engines earn 0.03 less than sized sets, with a fifth more weight loads.
  */
 
 /** The state of an engine that the plan depends on. */
@@ -55,7 +55,7 @@
   loadMs: number
 }
 
-/** In order of precedence. */
+/** Reasons for a weight load, the most important first. */
 export enum LoadReason {
   /** Items wait, the set of engines is incomplete, and none of its engines has a free slot. */
   ItemsWait = 'items_wait',
@@ -76,7 +76,7 @@
 const ASSUMED_VERSION_INTERVAL_MS = 4_000
 /** Share of the load capacity that sets are sized to; the rest covers failed loads and lost engines. With 0.6, days with faults earn 0.03 less of the value of their samples. */
 const PLANNED_LOAD_SHARE = 0.8
-/** Slots of a set, in steps: two steps are open at a time, and only the long samples of the earlier one still run. */
+/** Slots of a set, in steps: two steps are open at a time, and only the long samples of the earlier step still run. */
 const ROOM_IN_STEPS = 1.5
 /** Engines beyond those that the work needs, so that the loss of one leaves enough slots. */
 const SPARE_ENGINES_COUNT = 1
@@ -84,7 +84,7 @@
 const TOO_SLOW_RATIO = 2
 /** Cost of each other model on an engine, in units of relative slowness: models on one engine share its slots but do not lengthen its time per event, so two other models cost less than an engine that is slower by 1.3. */
 const SHARING_COST = 0.1
-/** Cost of an engine without a free slot, in units of relative slowness: slots become free within a second, while the time per event of an engine lasts. */
+/** Cost of an engine without a free slot, in units of relative slowness: slots become free within a second, while a long time per event lasts. */
 const OCCUPIED_COST = 0.2
 
 /**
@@ -130,7 +130,7 @@
   })
 }
 
-/** Engines that the steps of a model need; all of them before its first step. */
+/** Number of engines that the steps of a model need; all engines before its first step. */
 function neededEnginesCount ({ stepItemsCount }: PlannedModel, engines: readonly PlannedEngine[]): number {
   if (stepItemsCount === undefined) return Math.max(1, engines.length)
   const slotsCount = Math.max(1, ...engines.map(engine => engine.slotsCount))
@@ -175,7 +175,7 @@
   return undefined
 }
 
-/** The engine with the lowest load cost for a model, among those that accept orders. */
+/** The engine with the lowest load cost for a model, among the engines that accept load orders. */
 function engineFor ({ model, reason }: LoadNeed, engines: readonly PlannedEngine[], models: readonly PlannedModel[], fastestMs: number): PlannedEngine | undefined {
   const oldestUsableVersion = reason === LoadReason.NextVersion ? model.namedVersion : model.neededVersion
   let candidates = engines.filter(engine => engine.acceptsOrders && engine.versionOf(model.model) < oldestUsableVersion)
--- a/src/batches/weightRollout.ts
+++ b/src/batches/weightRollout.ts
@@ -38,7 +38,7 @@
   supervisor: Supervisor
   /** Name of this host in orders to engines. */
   holder: string
-  /** Time within which no two hosts may both send load orders to an engine. */
+  /** Time within which no two hosts may both send load orders to one engine. */
   orderLeaseMs: number
 }
 
