--- a/src/batches/assignmentRound.ts
+++ b/src/batches/assignmentRound.ts
@@ -1,6 +1,6 @@
 /**
  * One pass over all waiting items. The engines that may run an item are computed
- * once per batch, and time per event and health of each engine are read once per batch.
+ * once per batch; the time per event and the health of each engine are also read once per batch.
  * Without this sharing, 500 items of four trainers and 31 engines blocked the
  * event loop of the store leader for longer than the heartbeat timeout, so that
  * it lost its leadership at every step.
--- a/src/batches/itemOutput.ts
+++ b/src/batches/itemOutput.ts
@@ -1,7 +1,7 @@
 /**
  * The growing output of an item: the data of its events and the versions of the
  * weights that generated them. Event ids start at 1 and have no gaps. The first
- * events may already be in the replicated state; all are held here as well, so that
+ * events may already be in the replicated state; all events are stored here as well, so that
  * they can be sent again if the replicated state turns out to differ.
  */
 import type { ItemEvent } from '../endpoints/endpointClient.js'
