--- a/src/batches/batchReports.ts
+++ b/src/batches/batchReports.ts
@@ -1,5 +1,5 @@
 /**
- * Reports on the batches that the batch store holds: gauges, and a log line for
+ * Reports on the batches in the batch store: gauges, and a log line for
  * each batch that expired or that was requested and is unknown.
  */
 import { LRUCache } from 'lru-cache'
@@ -21,12 +21,12 @@
   metrics.gauge(MetricName.OutputsUnfinished, state.unfinishedCount)
 }
 
-/** Logs the removal of an expired batch together with the times that decided it. */
+/** Logs the removal of an expired batch together with the times that led to the removal. */
 export function reportExpired (logger: Logger, { batchId, acceptedAtMs, keptMs, isEnded, results }: Batch, decidedAtMs: number): void {
   logger.event(BatchEvent.BatchExpired, { batchId, acceptedAtMs, decidedAtMs, keptMs, isEnded, listedCount: results.length })
 }
 
-/** Logs each batch once that was requested and is not held by this replica. */
+/** Logs each batch once that was requested and is not stored on this replica. */
 export class UnknownBatchReporter {
   private readonly _replica: Replica
   private readonly _logger: Logger
--- a/src/batches/rewardScoring.ts
+++ b/src/batches/rewardScoring.ts
@@ -14,7 +14,7 @@
 import { Progress } from '../utils/progress.js'
 import type { Scope } from '../utils/scope.js'
 
-/** Time limit for one reward call with its retries; the longest calls of both known deployments take a tenth of this. */
+/** Time limit for one reward call with its retries; the longest calls of both known deployments take a tenth of this limit. */
 const REWARD_TIMEOUT_MS = 2_000
 const RETRY_PAUSE_MS = 50
 /** A quarantined call is sent to no endpoint; this is the interval for checking whether the quarantine was lifted. */
@@ -23,7 +23,7 @@
 const HTTP_OK_MAX = 299
 
 export type RewardScore =
-  /** The receipt of the endpoint that scored it. */
+  /** The receipt of the endpoint that scored the sample. */
   | { kind: 'scored', receipt: string }
   /** No further attempt is allowed. */
   | { kind: 'lost' }
