--- a/src/batches/weightPlanner.ts
+++ b/src/batches/weightPlanner.ts
@@ -74,7 +74,7 @@
 
 /** Interval assumed until two named versions were observed: trainers of either deployment name a version every four seconds. */
 const ASSUMED_VERSION_INTERVAL_MS = 4_000
-/** Share of the load capacity that sets are sized to; the rest covers failed loads and lost engines. With 0.6, days with faults earn 0.03 less of the value of their samples. */
+/** Share of the load capacity that sets are sized to; the rest covers failed loads and lost engines. With 0.6, days with faults earn 0.03 less. */
 const PLANNED_LOAD_SHARE = 0.8
 /** Slots of a set, in steps: two steps are open at a time, and only the long samples of the earlier step still run. */
 const ROOM_IN_STEPS = 1.5
--- a/src/control/fleet/endpointAnnouncements.ts
+++ b/src/control/fleet/endpointAnnouncements.ts
@@ -67,7 +67,7 @@
     const { directory } = this._options
     const left = directory.leave(name, bornAtMs)
     if (left) this._notifyFollowers(left, EndpointUpdateKind.Endpoint)
-    return await this._confirmLeave({ name, bornAtMs: bornAtMs ?? directory.newestBornAtMs(name), lifecycle: EndpointLifecycle.Removed }, scope)
+    return await this._confirmLeave({ name, bornAtMs: bornAtMs ?? directory.newestBornAtMs(name), lifecycle: EndpointLifecycle.Gone }, scope)
   }
 
   /** Notifies the followers of this host at once, even if no quorum can confirm, so that fewer requests go to a leaving endpoint. */
--- a/src/control/fleet/endpointDirectory.ts
+++ b/src/control/fleet/endpointDirectory.ts
@@ -91,7 +91,7 @@
     const known = this._records.get(name)?.endpoint
     const isUnknown = !known || (bornAtMs !== undefined && bornAtMs > known.bornAtMs)
     if (isUnknown) this._unknownLeavesMs.set(name, this._clock.nowMs())
-    if (!known || known.lifecycle === EndpointLifecycle.Removed) return undefined
+    if (!known || known.lifecycle === EndpointLifecycle.Gone) return undefined
     if (bornAtMs !== undefined && bornAtMs < known.bornAtMs) return undefined
     const endpoint = markLeft(known)
     this._records.set(name, { endpoint, heardAtMs: this._clock.nowMs() })
@@ -104,7 +104,7 @@
     const nowMs = this._clock.nowMs()
     const expired: FleetEndpoint[] = []
     for (const [name, { endpoint, heardAtMs }] of this._records) {
-      const hasLeft = endpoint.lifecycle === EndpointLifecycle.Removed
+      const hasLeft = endpoint.lifecycle === EndpointLifecycle.Gone
       if (nowMs - heardAtMs < (hasLeft ? LEFT_RETENTION_MS : this._silenceMs)) continue
       this._records.delete(name)
       if (!hasLeft) expired.push(endpoint)
@@ -127,19 +127,19 @@
     const known = this._records.get(leave.name)?.endpoint
     this._knownLeaves.record(leave, known?.bornAtMs)
     if (!known && leave.bornAtMs === undefined) this._unknownLeavesMs.set(leave.name, this._clock.nowMs())
-    if (!known || known.lifecycle === EndpointLifecycle.Removed) return
+    if (!known || known.lifecycle === EndpointLifecycle.Gone) return
     const lifecycle = Math.max(known.lifecycle, this._knownLeaves.lifecycleOf(known))
-    const endpoint = lifecycle === EndpointLifecycle.Removed ? markLeft(known) : { ...known, lifecycle }
+    const endpoint = lifecycle === EndpointLifecycle.Gone ? markLeft(known) : { ...known, lifecycle }
     this._records.set(leave.name, { endpoint, heardAtMs: this._clock.nowMs() })
   }
 
   private _isOutdated (announced: FleetEndpoint, newest: FleetEndpoint | undefined): boolean {
     const leftAtMs = this._unknownLeavesMs.get(announced.name)
     if (leftAtMs !== undefined && this._clock.nowMs() - leftAtMs < UNKNOWN_LEAVE_RETENTION_MS) return true
-    if (this._knownLeaves.lifecycleOf(announced) === EndpointLifecycle.Removed) return true
+    if (this._knownLeaves.lifecycleOf(announced) === EndpointLifecycle.Gone) return true
     if (!newest || announced.bornAtMs > newest.bornAtMs) return false
     if (announced.bornAtMs < newest.bornAtMs) return true
-    return newest.lifecycle === EndpointLifecycle.Removed || announced.sequence <= newest.sequence
+    return newest.lifecycle === EndpointLifecycle.Gone || announced.sequence <= newest.sequence
   }
 }
 
@@ -152,5 +152,5 @@
 
 /** The maximum sequence makes every later update about this start outdated. */
 function markLeft (endpoint: FleetEndpoint): FleetEndpoint {
-  return { ...endpoint, lifecycle: EndpointLifecycle.Removed, sequence: Number.MAX_SAFE_INTEGER }
+  return { ...endpoint, lifecycle: EndpointLifecycle.Gone, sequence: Number.MAX_SAFE_INTEGER }
 }
--- a/src/fleet/fleetView.ts
+++ b/src/fleet/fleetView.ts
@@ -115,7 +115,7 @@
   /** Removes an endpoint whose address another endpoint has taken over. */
   markRemoved (endpointId: string): void {
     const known = this._endpoints.get(endpointId)
-    if (known) this._mergeEndpoint({ ...known, lifecycle: EndpointLifecycle.Removed })
+    if (known) this._mergeEndpoint({ ...known, lifecycle: EndpointLifecycle.Gone })
     this._notify()
   }
 
@@ -180,7 +180,7 @@
     const lifecycle = Math.max(known?.lifecycle ?? EndpointLifecycle.Ready, received.lifecycle, this._leaves.lifecycleOf(received))
     const newest = known && known.sequence > received.sequence ? known : received
     const endpoint = { ...newest, lifecycle }
-    if (lifecycle === EndpointLifecycle.Removed) this._removeEndpoint(endpointId)
+    if (lifecycle === EndpointLifecycle.Gone) this._removeEndpoint(endpointId)
     else this._endpoints.set(endpointId, endpoint)
     this._logEndpoint(known, endpoint)
   }
--- a/src/protocol/endpointLeaves.ts
+++ b/src/protocol/endpointLeaves.ts
@@ -10,7 +10,7 @@
   Ready = 0,
   /** Finishes the requests that it runs and gets no new ones. */
   Leaving = 1,
-  Removed = 2
+  Gone = 2
 }
 
 /** Limit on remembered leaves; an old heartbeat arrives at most some seconds after the leave. */
@@ -63,6 +63,6 @@
   lifecycleOf ({ name, bornAtMs }: { name: string, bornAtMs: number }): EndpointLifecycle {
     const known = this._leaves.get(name)
     if (!known || bornAtMs > known.bornAtMs) return EndpointLifecycle.Ready
-    return bornAtMs < known.bornAtMs ? EndpointLifecycle.Removed : known.lifecycle
+    return bornAtMs < known.bornAtMs ? EndpointLifecycle.Gone : known.lifecycle
   }
 }
--- a/tests/fleet/endpointDirectory.test.ts
+++ b/tests/fleet/endpointDirectory.test.ts
@@ -36,7 +36,7 @@
 test('should not bring an endpoint back that has left', t => {
   const { known } = directory()
   known.heartbeat(endpoint('e1', { sequence: 1 }))
-  t.is(known.leave('e1')?.lifecycle, EndpointLifecycle.Removed)
+  t.is(known.leave('e1')?.lifecycle, EndpointLifecycle.Gone)
   t.is(known.heartbeat(endpoint('e1', { sequence: 2 })).kind, 'outdated')
 })
 
--- a/tests/fleet/endpointLeaves.test.ts
+++ b/tests/fleet/endpointLeaves.test.ts
@@ -6,7 +6,7 @@
 
 const NOW = { atMs: 0 }
 
-const { Ready, Leaving, Removed } = EndpointLifecycle
+const { Ready, Leaving, Gone: Removed } = EndpointLifecycle
 
 test('should record a leave once, however often and wherever it is repeated', t => {
   const leaves = new RecordedLeaves()
--- a/tests/fleet/fleetView.test.ts
+++ b/tests/fleet/fleetView.test.ts
@@ -31,7 +31,7 @@
   view.merge('control-1', { endpoints: [endpoint('e1', { sequence: 4, lifecycle: EndpointLifecycle.Leaving })] })
   view.merge('control-2', { endpoints: [endpoint('e1', { sequence: 9 })] })
   t.deepEqual(ids(view), [])
-  view.merge('control-1', { endpoints: [endpoint('e1', { sequence: 10, lifecycle: EndpointLifecycle.Removed })] })
+  view.merge('control-1', { endpoints: [endpoint('e1', { sequence: 10, lifecycle: EndpointLifecycle.Gone })] })
   view.merge('control-2', { endpoints: [endpoint('e1', { sequence: 11 })] })
   t.deepEqual(ids(view), [])
 })
@@ -75,7 +75,7 @@
 
 test('should accept an endpoint that restarted after it was reported to have left', t => {
   const view = new FleetView(silentLogger)
-  view.merge('control-1', { endpoints: [incarnation('e1', 1_000, { lifecycle: EndpointLifecycle.Removed })] })
+  view.merge('control-1', { endpoints: [incarnation('e1', 1_000, { lifecycle: EndpointLifecycle.Gone })] })
   view.merge('control-1', { endpoints: [incarnation('e1', 2_000)] })
   t.deepEqual(ids(view), ['e1@2000'])
 })
--- a/tests/platform/controlServer.test.ts
+++ b/tests/platform/controlServer.test.ts
@@ -69,7 +69,7 @@
   t.is(await served.announce('i-1', { ...heartbeat, born: heartbeat.born + 5_000, seq: 1 }), 200)
   t.deepEqual(served.sentEndpoints.map(({ bornAtMs, lifecycle }) => [bornAtMs, lifecycle]), [
     [heartbeat.born, EndpointLifecycle.Ready],
-    [heartbeat.born, EndpointLifecycle.Removed],
+    [heartbeat.born, EndpointLifecycle.Gone],
     [heartbeat.born + 5_000, EndpointLifecycle.Ready]
   ])
 })
@@ -80,7 +80,7 @@
   t.is(await served.send('/v1/instances/i-1/deregister', JSON.stringify({ born: heartbeat.born - 1 })), 200)
   t.is(served.directory.all()[0]?.lifecycle, EndpointLifecycle.Ready)
   t.is(await served.send('/v1/instances/i-1/deregister'), 200)
-  t.is(served.directory.all()[0]?.lifecycle, EndpointLifecycle.Removed)
+  t.is(served.directory.all()[0]?.lifecycle, EndpointLifecycle.Gone)
 })
 
 const malformed: Array<[string, Record<string, unknown>]> = [
