--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -31,7 +31,7 @@
   return -Math.log(1 - random.real()) * MS_PER_SECOND / perSecond
 }
 
-/** Draws a workload at random, weighted by its share. */
+/** Draws a workload at random, weighted by the workload's share. */
 export function drawWorkload (workloads: readonly Workload[], random: RandomSource): Workload {
   const totalShare = workloads.reduce((sum, { share }) => sum + share, 0)
   let remaining = random.real() * totalShare
--- a/src/load/experiment.ts
+++ b/src/load/experiment.ts
@@ -32,7 +32,7 @@
   name: z.string().min(1),
   /** Share of all requests, relative to the other workloads. */
   share: z.number().positive().default(1),
-  /** One is drawn at random for each request. */
+  /** One entry is drawn at random for each request. */
   callers: z.array(z.string()).min(1).default(['load']),
   priorityClass: z.string().optional(),
   /** How long the caller waits for the complete answer, retries included. */
@@ -45,7 +45,7 @@
   kind: z.literal(WorkloadKind.Service),
   ...workloadBase,
   pool: z.string(),
-  /** Each request is sent to its own path below this one. */
+  /** Each request is sent to its own path below this path. */
   path: z.string().startsWith('/'),
   method: z.enum(['GET', 'POST']).default('POST'),
   bodyBytes: z.int().min(0).default(64),
--- a/src/load/requestOutcome.ts
+++ b/src/load/requestOutcome.ts
@@ -10,11 +10,11 @@
   PartialAnswer = 'partial_answer',
   /** The answer belongs to another request. */
   CrossedAnswer = 'crossed_answer',
-  /** Refused as not executed, but the execution record contains it. */
+  /** The request was refused as not executed, but the execution record contains the request. */
   FalseNotRun = 'false_not_run',
   /** A request with an Idempotency-Key was executed more than once. */
   RanTwice = 'ran_twice',
-  /** Answered completely, but the execution record does not contain it. */
+  /** The request was answered completely, but the execution record does not contain the request. */
   NeverRan = 'never_ran',
   /** A refusal that does not follow the schema. */
   MalformedRefusal = 'malformed_refusal'
--- a/src/protocol/endpoints.ts
+++ b/src/protocol/endpoints.ts
@@ -108,7 +108,7 @@
   /** Endpoints that enforce fencing refuse orders with a number below the highest that they have received. */
   fencing_number: z.int(),
   order_id: z.string(),
-  /** The endpoint drops the order if this time has passed when it would start executing it. */
+  /** The endpoint drops an order that it would start to execute after this time has passed. */
   remaining_ms: z.number()
 }
 
--- a/src/protocol/fleet.ts
+++ b/src/protocol/fleet.ts
@@ -88,7 +88,7 @@
   changedHosts: z.array(fleetHostSchema).optional(),
   lostHostIds: z.array(z.string()).optional(),
   endpoints: z.array(fleetEndpointSchema).optional(),
-  /** Leaves recorded since the last update on this connection, in the order of their numbers. */
+  /** Departures of endpoints recorded since the last update on this connection, in the order of the departure numbers. */
   leaves: z.array(endpointLeaveSchema).optional(),
   /** Quarantine entries that are new or have changed since the last update on this connection. */
   quarantine: z.array(quarantineEntrySchema).optional(),
--- a/src/protocol/hostCommands.ts
+++ b/src/protocol/hostCommands.ts
@@ -24,7 +24,7 @@
 export const hostCommandSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal(HostCommandKind.Register), host: entryHostSchema }),
   z.object({ kind: z.literal(HostCommandKind.Remove), hostId: z.string(), incarnation: z.number() }),
-  /** Issues a new fencing number, which invalidates the orders of earlier holders in the scope. */
+  /** Issues a new fencing number, which invalidates orders sent under earlier numbers in the scope. */
   z.object({ kind: z.literal(HostCommandKind.AcquireFence), fenceScope: z.string(), holder: z.string() })
 ])
 export type HostCommand = z.infer<typeof hostCommandSchema>
--- a/src/protocol/refusals.ts
+++ b/src/protocol/refusals.ts
@@ -12,7 +12,7 @@
   UnknownPriorityClass = 'unknown_priority_class',
   IdempotencyKeyRequired = 'idempotency_key_required',
   IdempotencyKeyReused = 'idempotency_key_reused',
-  /** Another attempt with the same key was refused as not run while this one waited. */
+  /** Another attempt with the same key was refused as not executed while this attempt waited. */
   Superseded = 'superseded',
   CallerLimit = 'caller_limit',
   QueueFull = 'queue_full',
--- a/src/protocol/rolloutCommands.ts
+++ b/src/protocol/rolloutCommands.ts
@@ -21,13 +21,13 @@
   Late = 'late',
   /** The oldest weight version of the sample lags behind the trainer by more than the staleness bound. */
   Stale = 'stale',
-  /** No host holds the content any more. */
+  /** The content is no longer stored on any host. */
   ContentLost = 'contentLost',
   /** The step of the slot has ended or was never open. */
   UnknownSlot = 'unknownSlot',
   /** The host that ran the attempt lost its lease or restarted. */
   HostLost = 'hostLost',
-  /** The host that ran the attempt abandoned it. */
+  /** The host that ran the attempt abandoned the attempt. */
   Abandoned = 'givenUp'
 }
 
@@ -47,7 +47,7 @@
   expectedTokensCount: z.number(),
   /** Older weights would exceed the staleness bound when the sample is delivered. */
   minWeightVersion: z.int(),
-  /** Number of earlier attempts at the slot; a host may hold a checkpoint of one. */
+  /** Number of earlier attempts at the slot; a checkpoint of an earlier attempt may be stored on a host. */
   earlierAttemptsCount: z.int(),
   /** The step comes after the trainer's current step. */
   isAhead: z.boolean()
@@ -57,7 +57,7 @@
 export const committedSampleSchema = slotSchema.extend({
   position: z.int(),
   attemptId: z.string(),
-  /** Hosts that hold the content. */
+  /** Hosts on which the content is stored. */
   holderHostIds: z.array(z.string()),
   versions: z.array(versionSpanSchema)
 })
@@ -66,7 +66,7 @@
 const slotRequestSchema = z.object({
   job: z.string(),
   maxSlotsCount: z.int().min(0),
-  /** How many of these may belong to later steps. */
+  /** How many of the requested slots may belong to later steps. */
   maxAheadCount: z.int().min(0)
 })
 export type SlotRequest = z.infer<typeof slotRequestSchema>
@@ -111,7 +111,7 @@
   }),
   /** The content of a committed sample is lost; its position must be filled again. */
   z.object({ kind: z.literal(RolloutCommandKind.DropSample), ...slotSchema.shape, attemptId: z.string(), reason: z.enum(SampleDropReason) }),
-  /** The content was copied to other hosts, which hold it now. */
+  /** The content was copied to other hosts, where it is now stored. */
   z.object({ kind: z.literal(RolloutCommandKind.MoveSample), ...slotSchema.shape, attemptId: z.string(), holderHostIds: z.array(z.string()) }),
   z.object({ kind: z.literal(RolloutCommandKind.PublishWeights), job: z.string(), sessionNumber: z.int(), weightVersion: z.int() })
 ])
@@ -131,7 +131,7 @@
 })
 export type JobStatus = z.infer<typeof jobStatusSchema>
 
-/** A sample that a host holds, with all its holders. */
+/** A sample stored on a host, with all hosts on which it is stored. */
 export const heldSampleSchema = slotSchema.extend({ attemptId: z.string(), holderHostIds: z.array(z.string()) })
 export type HeldSample = z.infer<typeof heldSampleSchema>
 
--- a/src/protocol/routingCommands.ts
+++ b/src/protocol/routingCommands.ts
@@ -36,9 +36,9 @@
 export type StoreGroup = z.infer<typeof storeGroupSchema>
 
 export enum RetirementState {
-  /** The host still holds data that others may lack. */
+  /** The host still stores data that other hosts may lack. */
   Serving = 'serving',
-  /** The host holds no data that is still needed. */
+  /** The host stores no data that is still needed. */
   Completed = 'completed'
 }
 
--- a/src/replication/log/entryLog.ts
+++ b/src/replication/log/entryLog.ts
@@ -40,7 +40,7 @@
     return this._entries.at(-1)?.atMs ?? this._base.atMs
   }
 
-  /** Total size of the entries held. */
+  /** Total size of the entries in memory. */
   get bytes (): number {
     return this._bytes
   }
@@ -68,7 +68,7 @@
     this._bytes -= sumBytes(dropped)
   }
 
-  /** Entries from an index on, up to a total size; at least one, if any exists. */
+  /** Entries from an index on, up to a total size; at least one entry, if any exists. */
   slice (fromIndex: number, maxBytes: number): LogEntry[] {
     const chosen: LogEntry[] = []
     let bytes = 0
@@ -104,7 +104,7 @@
     this._bytes = 0
   }
 
-  /** First index held of the term to which the entry at an index belongs. */
+  /** First index in memory of the term to which the entry at an index belongs. */
   firstIndexOfTerm (index: number): number {
     const term = this.termAt(index)
     let first = index
--- a/src/replication/log/followerProgress.ts
+++ b/src/replication/log/followerProgress.ts
@@ -19,7 +19,7 @@
   nextIndex: number
   /** Index up to which the follower has synced the log. */
   matchIndex = 0
-  /** Highest round that it has answered as a follower in this term. */
+  /** Highest round that the replica has answered as a follower in this term. */
   ackedRound = 0
   /** When the latest answered request was sent, on this host's steady clock. */
   ackedSentAtMs: number
--- a/src/replication/log/followerReplicator.ts
+++ b/src/replication/log/followerReplicator.ts
@@ -126,7 +126,7 @@
     let offsetBytes = 0
     for (;;) {
       const bytes = await scope.race(storage.readSnapshotChunk(snapshot, offsetBytes, SNAPSHOT_CHUNK_BYTES))
-      // A later snapshot has replaced it on disk.
+      // A later snapshot has replaced this snapshot on disk.
       if (!bytes) return false
       const chunk = { lastIndex, lastTerm, offsetBytes, totalBytes, bytes }
       const reply = await this._sendSnapshotChunk(chunk, scope)
--- a/src/replication/log/persistentState.ts
+++ b/src/replication/log/persistentState.ts
@@ -108,7 +108,7 @@
       this.log.truncateFrom(first.index)
       this.members.truncateFrom(first.index)
     }
-    // Copies, so that no entry keeps the whole message that carried it in memory.
+    // Copied, so that no entry keeps the whole message that carried it in memory.
     return entries.slice(firstUnknown).map(entry => ({ ...entry, payload: Uint8Array.from(entry.payload) }))
   }
 }
--- a/src/replication/storage/disk.ts
+++ b/src/replication/storage/disk.ts
@@ -17,7 +17,7 @@
   list (): Promise<string[]>
   /** Content of a file; undefined if it does not exist. */
   read (name: string): Promise<Uint8Array | undefined>
-  /** Bytes of a file from a position on, fewer at its end; undefined if the file does not exist. */
+  /** Bytes of a file from a position on, fewer at the end of the file; undefined if the file does not exist. */
   readRange (name: string, positionBytes: number, lengthBytes: number): Promise<Uint8Array | undefined>
   /** Opens a file for writing and creates it if needed; existing content is kept. */
   open (name: string): Promise<DiskFile>
--- a/src/replication/storage/replicaStorage.ts
+++ b/src/replication/storage/replicaStorage.ts
@@ -148,7 +148,7 @@
     if (lastIndex !== this._snapshot?.lastIndex) await this._failOnError(() => this._disk.remove(name))
   }
 
-  /** Starts to receive a leader's snapshot; a partly received one is dropped. */
+  /** Starts to receive a leader's snapshot; a partly received snapshot is dropped. */
   async receiveSnapshot (): Promise<IncomingSnapshot> {
     return await this._failOnError(() => IncomingSnapshot.start(this._disk, this._pendingFiles))
   }
--- a/src/replication/storage/snapshotFile.ts
+++ b/src/replication/storage/snapshotFile.ts
@@ -28,7 +28,7 @@
 /** A snapshot that was read from disk; its pieces are passed to the state. */
 export interface Snapshot extends SnapshotHeader {
   pieces: unknown[]
-  /** Length of its file. */
+  /** Length of the snapshot's file. */
   lengthBytes: number
 }
 
@@ -56,7 +56,7 @@
 export interface WrittenSnapshot {
   lastIndex: number
   lastTerm: number
-  /** Length of its file. */
+  /** Length of the snapshot's file. */
   lengthBytes: number
 }
 
