--- a/src/control/controlProgram.ts
+++ b/src/control/controlProgram.ts
@@ -267,7 +267,7 @@
     this._servers.push(server)
   }
 
-  /** Handles one HTTP request in a scope that ends with its response. */
+  /** Handles one HTTP request in a scope that ends with the response. */
   private _handle (api: OperatorApi, request: IncomingMessage, response: ServerResponse): void {
     const scope = this._scope.child('operator')
     response.on('close', () => scope.close('exchange over'))
--- a/src/control/fleet/endpointAnnouncements.ts
+++ b/src/control/fleet/endpointAnnouncements.ts
@@ -2,9 +2,9 @@
  * Handles the announcements of endpoints to this control host: heartbeats and
  * leaves.
  *
- * A confirmed leave holds for all hosts, so it must not depend on the memory of one
+ * A confirmed departure holds for all hosts, so it must not depend on the memory of one
  * control host: it is confirmed once the replicated log has recorded it, and every
- * control host notifies its followers. If leaves were kept in the memory of one host,
+ * control host notifies its followers. If departures were kept in the memory of one host,
  * an endpoint that a partitioned control host refuses could turn to one that does not
  * know it, and followers of the others would go on sending to it for 4 s or longer.
  */
@@ -23,7 +23,7 @@
 import { EndpointUpdateKind } from './endpointUpdateKind.js'
 import type { FollowerSessions } from './followerSessions.js'
 
-/** A control host without contact to a leader for this long may be partitioned; it refuses leaves at once, so that the endpoint does not wait in vain. */
+/** A control host without contact to a leader for this long may be partitioned; it refuses departures at once, so that the endpoint does not wait in vain. */
 const MAX_LEADERLESS_MS = 1_500
 /** Endpoints turn to another control host after 1 s, of which notifying the followers takes up to 300 ms. */
 const COMMIT_TIMEOUT_MS = 550
@@ -39,7 +39,7 @@
 
 export type AnnouncementOutcome =
   | { kind: 'noted' }
-  /** No quorum has recorded the leave; the endpoint turns to another control host. */
+  /** No quorum has recorded the departure; the endpoint turns to another control host. */
   | { kind: 'unconfirmed', reason: string }
 
 type CommitOutcome = { kind: 'committed', leave: EndpointLeave } | { kind: 'unconfirmed', reason: string }
--- a/src/control/fleet/endpointDirectory.ts
+++ b/src/control/fleet/endpointDirectory.ts
@@ -1,7 +1,7 @@
 /**
  * The endpoints that announce themselves to this control host. Records are kept
  * in memory only: an endpoint repeats its heartbeat about every second, and
- * followers merge the updates of all control hosts. Leaves are recorded in the
+ * followers merge the updates of all control hosts. Departures are recorded in the
  * replicated log, which takes precedence over heartbeats, as a heartbeat may
  * arrive late.
  */
@@ -16,7 +16,7 @@
 /** An endpoint that has left stays recorded this long, so that a late heartbeat does not reinstate it. */
 const LEFT_RETENTION_MS = 60_000
 /**
- * The same for the leave of an unknown endpoint. Which of its starts has left is
+ * The same for the departure of an unknown endpoint. Which of its starts has left is
  * not known, so a short time keeps the next start from being refused for long.
  * Heartbeats are at most a few seconds late.
  */
@@ -30,7 +30,7 @@
 export type HeartbeatOutcome =
   /** Nothing changed that followers need at once. */
   | { kind: 'refreshed' }
-  /** The heartbeat is older than the record, or its endpoint has left. */
+  /** The heartbeat is older than the recorded one, or its endpoint has left. */
   | { kind: 'outdated' }
   /** @param replaced the earlier start of the endpoint, marked as left */
   | { kind: 'changed', endpoint: FleetEndpoint, news: EndpointUpdateKind, replaced: FleetEndpoint | undefined }
@@ -40,16 +40,16 @@
   private readonly _silenceMs: number
   /** The newest start of each endpoint, by its name. */
   private readonly _records = new Map<string, EndpointRecord>()
-  /** When unknown endpoints announced their leave, by name. */
+  /** When unknown endpoints announced their departure, by name. */
   private readonly _unknownLeavesMs = new Map<string, number>()
   private readonly _recordedLeaves: Pick<RecordedLeaves, 'since'>
-  /** Leaves of the log up to `_lastAppliedNumber`. */
+  /** Departures of the log up to `_lastAppliedNumber`. */
   private readonly _knownLeaves = new KnownLeaves()
   private _lastAppliedNumber = 0
 
   /**
    * @param heartbeatMs interval at which endpoints announce themselves
-   * @param recordedLeaves leaves recorded in the replicated log
+   * @param recordedLeaves departures recorded in the replicated log
    */
   constructor (clock: Clock, heartbeatMs: number, recordedLeaves: Pick<RecordedLeaves, 'since'>) {
     this._clock = clock
@@ -83,7 +83,7 @@
   }
 
   /**
-   * Marks an endpoint as left. The leave of an unknown start also ends the earlier one.
+   * Marks an endpoint as left. The departure of an unknown start also ends the earlier one.
    * @param bornAtMs start of the endpoint that leaves; the newest known start if undefined
    * @returns the endpoint; undefined if it is unknown or already marked as left
    */
@@ -115,7 +115,7 @@
     return expired
   }
 
-  /** Applies leaves that the log has recorded since the last call. */
+  /** Applies departures that the log has recorded since the last call. */
   private _applyLeaves (): void {
     for (const leave of this._recordedLeaves.since(this._lastAppliedNumber)) {
       this._lastAppliedNumber = leave.number
--- a/src/control/fleet/followerSessions.ts
+++ b/src/control/fleet/followerSessions.ts
@@ -27,7 +27,7 @@
 const REVIEW_INTERVAL_MS = 200
 /** Followers that connect within this time share one encoding of the host list; when a whole fleet starts, hundreds connect within a second. */
 const HOST_LIST_BATCH_MS = 20
-/** Limit for followers to confirm a leave, so that a disconnected follower does not delay the leaving endpoint. */
+/** Limit for followers to confirm a departure, so that a disconnected follower does not delay the leaving endpoint. */
 export const FOLLOWERS_CONFIRM_TIMEOUT_MS = 300
 /** A host that has not reconnected within this time, several times what a reconnect takes, counts as lost. */
 const RECENTLY_LOST_MS = 5_000
@@ -142,7 +142,7 @@
   }
 
   /**
-   * Notifies followers of a recorded leave and waits until they confirm or the time limit
+   * Notifies followers of a recorded departure and waits until they confirm or the time limit
    * passes. The others receive it from any control host that they follow.
    * @returns the number of followers of this host, and how many of them confirmed
    */
--- a/src/control/fleet/hostChanges.ts
+++ b/src/control/fleet/hostChanges.ts
@@ -1,7 +1,7 @@
 /**
  * Collects host changes since followers were last notified. Entry hosts name each
  * other to callers and connect to store hosts, so they receive all hosts; store
- * hosts receive only store hosts. Does no network I/O.
+ * hosts receive only store hosts. This module does no network I/O.
  *
  * Sending changes instead of full lists keeps the cost low when all hosts of a
  * fleet start at once, or come and go one after the other: a change then costs
--- a/src/control/fleet/routingPush.ts
+++ b/src/control/fleet/routingPush.ts
@@ -1,6 +1,6 @@
 /**
  * Decides which control host pushes a new routing configuration to a follower, and
- * when another control host sends it anyway. Does no network I/O.
+ * when another control host sends it anyway. This module does no network I/O.
  *
  * Pushing each copy once keeps the links from saturating. With 1,700 routes,
  * 89 followers and four control hosts with links of 12 MB/s, a configuration that
@@ -8,10 +8,10 @@
  * not in force after 2.5 s; a simulated day then scored 0.68 with two rules
  * violated, against 0.89 with none violated when one control host pushes (one run
  * each). By calculation, with 400 KB per copy, each control host sends a quarter of
- * the copies, 9 MB in about 0.8 s.
+ * the copies for the 89 followers, 9 MB in about 0.8 s.
  *
  * If a call shows that a follower lacks a version that was in force two calls
- * before, the control host that it called sends it: 1.5 s after the change at the
+ * before, the control host that received the call sends that version: 1.5 s after the change at the
  * latest, as followers call twice a second. One call would be too early, because the
  * push may still be in transit.
  */
--- a/src/control/fleet/usageDuty.ts
+++ b/src/control/fleet/usageDuty.ts
@@ -1,6 +1,6 @@
 /**
  * Reports usage to the infrastructure while this control host leads. The leader
- * holds the duty, and its term fences off earlier holders.
+ * holds the duty, and the leader's term fences off earlier leaders.
  */
 import { DutyLease } from '../../duties/dutyLease.js'
 import type { Infrastructure } from '../../duties/infrastructure.js'
--- a/src/control/hosts/leaseTable.ts
+++ b/src/control/hosts/leaseTable.ts
@@ -36,7 +36,7 @@
     return this._termSinceMs
   }
 
-  /** Clears the table if the term is a new one. */
+  /** Clears the table if the term is new. */
   enterTerm (term: number): void {
     if (term === this._term) return
     this._term = term
--- a/src/control/ledgers/rolloutLedger.ts
+++ b/src/control/ledgers/rolloutLedger.ts
@@ -1,7 +1,7 @@
 /**
  * The ledger of samples. For each slot of a step it records which hosts run it,
  * which attempt filled it, its position in the trainer's sequence, and whether the
- * trainer has confirmed it. It holds no sample content.
+ * trainer has confirmed the sample. The ledger holds no sample content.
  *
  * Its size is bounded: for each job it keeps the current step and those started
  * ahead, one number per prompt for the forecast, and counters. A step is removed
--- a/src/control/ledgers/rollouts/delivery.ts
+++ b/src/control/ledgers/rollouts/delivery.ts
@@ -2,8 +2,8 @@
  * Delivery by position and cursor.
  *
  * A sample gets its position when it is first offered, not when it is committed,
- * so a group that becomes stale while it waits delays no other, and positions have
- * no gaps. Samples that were offered but are not held yet are offered again,
+ * so a group that becomes stale while it waits delays no other group, and positions have
+ * no gaps. Samples that were offered but not yet confirmed are offered again,
  * unchanged, to a repeated pull on any host. Staleness is evaluated when the pull
  * is applied from the log.
  */
@@ -37,7 +37,7 @@
   return undefined
 }
 
-/** A trainer may leave a step only when it holds every sample of that step. */
+/** A trainer may go on from a step only when the trainer has every sample of that step. */
 function checkStep (state: JobState, { step, heldPosition }: Advance): RolloutResult | undefined {
   if (step < state.step) return refuse(state, 'stepPassed')
   if (step === state.step || state.step < 0) return undefined
@@ -78,8 +78,8 @@
 }
 
 /**
- * The same when weights are published. Offered samples stay, because the trainer may
- * already hold them; its next pull reports this.
+ * Drops stale samples when weights are published. Offered samples stay, because the trainer may
+ * already have them; the trainer's next pull reports this.
  */
 export function dropStaleUnoffered (state: JobState, spec: RolloutJobSpec): void {
   dropStaleWhere(state, spec, slot => slot.position === undefined)
--- a/src/control/ledgers/rollouts/jobState.ts
+++ b/src/control/ledgers/rollouts/jobState.ts
@@ -23,7 +23,7 @@
   committed?: CommittedState
   /** Set when a sample of the slot is first offered; kept when the slot has to be run again. */
   position?: number
-  /** The trainer has confirmed that it holds the sample. */
+  /** The trainer has confirmed that it received the sample. */
   isConfirmed: boolean
 }
 
--- a/src/control/ledgers/unrepeatableLedger.ts
+++ b/src/control/ledgers/unrepeatableLedger.ts
@@ -2,7 +2,7 @@
  * The ledger of unrepeatable requests, part of the replicated state.
  *
  * A key is free, started or answered. Only the attempt that started a key may
- * finish or release it. If the host that runs it crashes in between, it is unknown
+ * finish or release that key. If the host of the attempt crashes in between, it is unknown
  * whether the request was executed, so the key stays started until its retention
  * ends.
  *
--- a/src/control/routing/quarantineState.ts
+++ b/src/control/routing/quarantineState.ts
@@ -1,13 +1,13 @@
 /**
  * Replicated state of the quarantine: which requests were running on endpoints
  * when these endpoints ended. Three ends of one request may be seen by three
- * different hosts, so they are counted in the replicated state, and every control
- * host that applies the third one notifies its followers.
+ * different hosts, so ends are counted in the replicated state, and every control
+ * host that applies the third end notifies its followers.
  *
- * Requests that ran at the same time as a request that ends endpoints share its
- * ends. An end that a condemned request accounts for does not count against
- * another request, unless all ends of the other are among those of the condemned
- * one: then the two cannot be told apart, and both are withheld.
+ * Requests that ran at the same time as a request that ends endpoints share that
+ * request's ends. An end that a condemned request accounts for does not count against
+ * another request, unless all ends of the other are among the ends of the condemned
+ * request: then the two cannot be told apart, and both are withheld.
  */
 import { QUARANTINE_THRESHOLD_COUNT, QUARANTINE_MS, QuarantineVerdict, type EndedEndpoint, type QuarantineEntry } from '../../protocol/quarantine.js'
 
--- a/src/control/routing/recordedLeaves.ts
+++ b/src/control/routing/recordedLeaves.ts
@@ -1,14 +1,14 @@
 /**
- * The part of the replicated state that records the leaves of endpoints. Every
- * control host that applies a leave notifies its followers, so a leave survives
+ * The part of the replicated state that records the departures of endpoints. Every
+ * control host that applies a departure notifies its followers, so a departure survives
  * the loss of the host that confirmed it and reaches followers without a
  * connection to that host.
  */
 import { EndpointLifecycle, type EndpointLeave, type EndpointLeaveRequest } from '../../protocol/endpointLeaves.js'
 
 /**
- * Limit of recorded leaves, about 60 bytes each; hosts that connect receive them all.
- * Two leaves for each endpoint of a fleet of 500, as in a rolling release, fit.
+ * Limit of recorded departures of endpoints, about 60 bytes each; hosts that connect receive them all.
+ * Two departures for each endpoint of a fleet of 500, as in a rolling release, fit.
  */
 const MAX_LEAVES_COUNT = 1_024
 
@@ -20,12 +20,12 @@
     return this._leaves.at(-1)?.number ?? 0
   }
 
-  /** The latest recorded leave that already covers the request. */
+  /** The latest recorded departure that already covers the request. */
   find (request: EndpointLeaveRequest): EndpointLeave | undefined {
     return this._leaves.findLast(leave => covers(leave, request))
   }
 
-  /** Records a leave. A repeated request, also through another control host, returns the leave that was recorded first. */
+  /** Records a departure. A repeated request, also through another control host, returns the departure that was recorded first. */
   record (request: EndpointLeaveRequest): EndpointLeave {
     const recorded = this.find(request)
     if (recorded) return recorded
@@ -35,7 +35,7 @@
     return leave
   }
 
-  /** Leaves with a higher number, in order. */
+  /** Departures with a higher number, in order. */
   since (number: number): EndpointLeave[] {
     const afterIndex = this._leaves.findLastIndex(leave => leave.number <= number)
     return this._leaves.slice(afterIndex + 1)
@@ -50,7 +50,7 @@
   }
 }
 
-/** A leave without `bornAtMs` covers nothing and is never covered, because it may concern a later start of the endpoint. */
+/** A departure without `bornAtMs` covers nothing and is never covered, because it may concern a later start of the endpoint. */
 function covers (recorded: EndpointLeave, { name, bornAtMs, lifecycle }: EndpointLeaveRequest): boolean {
   if (recorded.name !== name || recorded.bornAtMs === undefined || bornAtMs === undefined) return false
   if (recorded.bornAtMs === bornAtMs) return recorded.lifecycle >= lifecycle
--- a/src/control/routing/routingState.ts
+++ b/src/control/routing/routingState.ts
@@ -1,7 +1,7 @@
 /**
  * The part of the replicated state that holds the routing configuration, the
  * named weight versions, the initial members of the batch store, retirements,
- * the leaves of endpoints, and the quarantine.
+ * the departures of endpoints, and the quarantine.
  */
 import type { EndpointLeave } from '../../protocol/endpointLeaves.js'
 import type { Routing } from '../../protocol/routing.js'
--- a/src/protocol/endpointLeaves.ts
+++ b/src/protocol/endpointLeaves.ts
@@ -1,6 +1,6 @@
 /**
- * Leaves of endpoints: their form in the log of the control hosts, and the rules
- * by which every host derives the incarnations that a leave ends.
+ * Departures of endpoints: their form in the log of the control hosts, and the rules
+ * by which every host derives the incarnations that a departure ends.
  */
 import { LRUCache } from 'lru-cache'
 import { z } from 'zod'
@@ -13,7 +13,7 @@
   Removed = 2
 }
 
-/** Limit on remembered leaves; an old heartbeat arrives at most some seconds after the leave. */
+/** Limit on remembered departures; an old heartbeat arrives at most some seconds after the departure. */
 const MAX_KNOWN_LEAVES_COUNT = 4_096
 
 const leaveFields = {
@@ -24,13 +24,13 @@
   lifecycle: z.enum(EndpointLifecycle)
 }
 
-/** A leave before it is recorded in the log. */
+/** A departure before it is recorded in the log. */
 export const endpointLeaveRequestSchema = z.object(leaveFields)
 export type EndpointLeaveRequest = z.infer<typeof endpointLeaveRequestSchema>
 
 export const endpointLeaveSchema = z.object({
   ...leaveFields,
-  /** Sequence number of the leave in the log; increases. */
+  /** Sequence number of the departure in the log; increases. */
   number: z.int().min(1)
 })
 export type EndpointLeave = z.infer<typeof endpointLeaveSchema>
@@ -41,14 +41,14 @@
   lifecycle: EndpointLifecycle
 }
 
-/** The leaves that a host knows. */
+/** The departures that a host knows. */
 export class KnownLeaves {
   /** By the endpoint's name. */
   private readonly _leaves = new LRUCache<string, KnownLeave>({ max: MAX_KNOWN_LEAVES_COUNT })
 
   /**
-   * Records a leave. Idempotent: the same leave may be received again, also from another control host.
-   * @param newestBornAtMs start time of the newest incarnation known here, which a leave without a start time ends
+   * Records a departure. Idempotent: the same departure may be received again, also from another control host.
+   * @param newestBornAtMs start time of the newest incarnation known here, which a departure without a start time ends
    */
   record ({ number, name, bornAtMs, lifecycle }: EndpointLeave, newestBornAtMs: number | undefined): void {
     const known = this._leaves.get(name)
@@ -59,7 +59,7 @@
     this._leaves.set(name, { number, bornAtMs: endsAtMs, lifecycle: isSameStart ? Math.max(known.lifecycle, lifecycle) : lifecycle })
   }
 
-  /** The lifecycle of an incarnation according to the known leaves: those before the one that left are removed, later ones are unaffected. */
+  /** The lifecycle of an incarnation according to the known departures: those before the one that left are removed, later ones are unaffected. */
   lifecycleOf ({ name, bornAtMs }: { name: string, bornAtMs: number }): EndpointLifecycle {
     const known = this._leaves.get(name)
     if (!known || bornAtMs > known.bornAtMs) return EndpointLifecycle.Ready
--- a/src/replication/log/membershipChanges.ts
+++ b/src/replication/log/membershipChanges.ts
@@ -230,7 +230,7 @@
     return this._core.options.clock.nowMs() - this._leadership.lastSeenAtMs(member.replicaId)
   }
 
-  /** Whether removing a voter would leave too few. If the tolerated losses are not set, the operator may shrink the group to any size. */
+  /** Whether removing a voter would leave too few voters. If the tolerated losses are not set, the operator may shrink the group to any size. */
   private _isBelowMinVoters (votersCount: number): boolean {
     return this._policy.toleratedLosses !== undefined && votersCount < this._minVotersCount
   }
--- a/src/replication/log/replicaPlacement.ts
+++ b/src/replication/log/replicaPlacement.ts
@@ -5,10 +5,10 @@
  *
  * If every host were a voter, each entry would be sent to all of them and wait
  * for half of them, so a larger deployment would be slower: thirty store hosts
- * would write thirty copies of each result, most of them over links between
+ * would write thirty replicas of each result, most of which cross links between
  * data centres. With 2f + 1 voters, a committed entry is on one more disk than
- * may be lost. f spares hold the log as learners, so that a lost voter is
- * replaced at once, without copying the state first. The other hosts hold
+ * may be lost. f spares store the log as learners, so that a lost voter is
+ * replaced at once, without copying the state first. The other hosts store
  * nothing until they are needed.
  */
 import { MemberRole, type Member } from './members.js'
--- a/src/replication/storage/snapshotFile.ts
+++ b/src/replication/storage/snapshotFile.ts
@@ -2,9 +2,9 @@
  * Snapshot files: the replicated state after an entry, with the members at that
  * point. A file is a sequence of frames, each a length, a checksum and a CBOR
  * value, in the same format on disk and on the wire: a header, the pieces of
- * the state, and a footer with their count. Writing and reading hold one piece
+ * the state, and a footer with the number of pieces. Writing and reading hold one piece
  * in memory at a time, whatever the size of the state. Encoding the state as a
- * single value took another two and a half times its size during the write, on
+ * single value took memory of another two and a half times its size during the write, on
  * all replicas at the same time.
  */
 import { Decoder, Encoder } from 'cbor-x'
