--- a/src/control/clientSessions.ts
+++ b/src/control/clientSessions.ts
@@ -11,7 +11,7 @@
 import type { RenewReply, RenewRequest } from '../protocol/controlMessages.js'
 import type { ControlNode } from './controlNode.js'
 
-/** Limit of changes in one notice; a host that lacks more gets them with its next renewal. */
+/** Limit of changes in one notice; a host that lacks more changes gets the rest with its next renewal. */
 const MAX_PUSHED_COUNT = 256
 /** Upper bound of the time for which a client can make a handler wait. */
 const MAX_WAIT_MS = 30_000
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -72,7 +72,7 @@
     return await this.replica.read(mode, progress)
   }
 
-  /** The index that a host has to apply before it answers a read from its own state. */
+  /** The log index that a host has to apply before it answers a read from its own state. */
   async readIndex (progress: Progress): Promise<ReadIndexReply> {
     const read = await this.read(ReadMode.Quorum, progress)
     switch (read.kind) {
--- a/src/control/fleet/endpointDirectory.ts
+++ b/src/control/fleet/endpointDirectory.ts
@@ -30,7 +30,7 @@
 export type HeartbeatOutcome =
   /** Nothing changed that followers need at once. */
   | { kind: 'refreshed' }
-  /** The heartbeat is older than the recorded one, or its endpoint has left. */
+  /** The heartbeat is older than the recorded heartbeat, or the endpoint has left. */
   | { kind: 'outdated' }
   /** @param replaced the earlier start of the endpoint, marked as left */
   | { kind: 'changed', endpoint: FleetEndpoint, news: EndpointUpdateKind, replaced: FleetEndpoint | undefined }
@@ -43,7 +43,7 @@
   /** When unknown endpoints announced their departure, by name. */
   private readonly _unknownLeavesMs = new Map<string, number>()
   private readonly _recordedLeaves: Pick<RecordedLeaves, 'since'>
-  /** Departures of the log up to `_lastAppliedNumber`. */
+  /** Departures that the log has recorded, up to number `_lastAppliedNumber`. */
   private readonly _knownLeaves = new KnownLeaves()
   private _lastAppliedNumber = 0
 
--- a/src/control/ledgers/rollouts/hostLeases.ts
+++ b/src/control/ledgers/rollouts/hostLeases.ts
@@ -5,7 +5,7 @@
 import { SampleDropReason } from '../../../protocol/rolloutCommands.js'
 import { allStates, type JobState, type SlotState } from './jobState.js'
 
-/** A host that has not renewed its lease for this long loses its slots. */
+/** A host that has not renewed its lease for this long loses its leased slots. */
 export const SLOT_LEASE_MS = 15_000
 
 export interface HostLease {
@@ -35,7 +35,7 @@
   sequence: number
 }
 
-/** @returns false for a command of an earlier incarnation, or one that a later command has overtaken */
+/** @returns false for a command of an earlier incarnation, or a command that a later command has overtaken */
 export function renewHost (hosts: HostLeases, { hostId, hostIncarnation, sequence }: Renewal, atMs: number): boolean {
   const known = hosts[hostId]
   const isSuperseded = known && (known.incarnation > hostIncarnation || (known.incarnation === hostIncarnation && known.sequence >= sequence))
--- a/src/controlClient/configurationLease.ts
+++ b/src/controlClient/configurationLease.ts
@@ -58,7 +58,7 @@
   private readonly _renewalEnded = new Signal()
   private _hasLease = false
   private _isSuperseded = false
-  /** A pushed change is in force here, but no renewal has reported it to the leader yet. */
+  /** A pushed change is in force here, but no renewal has reported this to the leader yet. */
   private _hasUnconfirmedChanges = false
 
   constructor (options: ConfigurationLeaseOptions) {
@@ -150,7 +150,7 @@
         link.dropLeader('not the leader', reply.leaderAddress)
         return RenewResult.Failed
       case 'foreign':
-        // Its configuration would be older: stay without a lease until the right cluster answers.
+        // The configuration of another cluster would be older: stay without a lease until the right cluster answers.
         link.dropLeader('the host belongs to another cluster, or its cluster has lost committed changes')
         return RenewResult.Failed
       case 'unavailable':
--- a/src/controlClient/followedConfiguration.ts
+++ b/src/controlClient/followedConfiguration.ts
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Replaces the whole configuration, unless the listing is not newer than the one in force. */
+  /** Replaces the whole configuration, unless the listing is not newer than the configuration in force. */
   applyListing (listing: ConfigurationListing): void {
     if (listing.revision <= this._revision) return
     const removed = new Map(this._resources)
@@ -57,7 +57,7 @@
     for (const resource of changed) this._events.emit({ kind: 'put', revision: resource.revision, resource })
   }
 
-  /** Whether a listed resource differs from the one in force. Deletes it from `removed` as a side effect. */
+  /** Whether a listed resource differs from the resource in force. Deletes the listed resource from `removed` as a side effect. */
   private _replaces (resource: Resource, removed: Map<string, Resource>): boolean {
     const key = keyOf(resource.kind, resource.name)
     const current = removed.get(key)
--- a/src/controlClient/leaderLink.ts
+++ b/src/controlClient/leaderLink.ts
@@ -42,7 +42,7 @@
     this._nextCandidate = options.random.int(0, Math.max(0, options.addresses.length - 1))
   }
 
-  /** Calls the current leader; waits until one is found. */
+  /** Calls the current leader; waits until a leader is found. */
   async call<Request, Reply> (method: RpcMethod<Request, Reply>, body: Request, progress: Progress): Promise<CallOutcome<Reply>> {
     while (!this._leader) {
       const wasFound = await this.leaderFound.wait(progress.scope, progress)
--- a/src/utils/clock.ts
+++ b/src/utils/clock.ts
@@ -12,7 +12,7 @@
   /**
    * Like nowMs, advanced by the time that the machine may have been suspended; a wall
    * clock that is set forward looks the same. Meant for leases and the messages that
-   * renew them, where ending one too early loses nothing. Never for request deadlines.
+   * renew leases, where ending a lease too early loses nothing. Never for request deadlines.
    */
   leaseNowMs (): number
   /** Milliseconds since the Unix epoch, for timestamps in records and logs. */
--- a/src/utils/logOutput.ts
+++ b/src/utils/logOutput.ts
@@ -1,7 +1,7 @@
 /**
  * Writes the log to a stream such as standard output, within a budget, so that
  * logging never blocks the process. What the pipe does not accept is buffered in
- * memory up to a limit; beyond it, lines are dropped.
+ * memory up to a limit; beyond the limit, lines are dropped.
  */
 import type { Writable } from 'node:stream'
 import type { Clock } from './clock.js'
--- a/src/utils/memoryWatch.ts
+++ b/src/utils/memoryWatch.ts
@@ -1,7 +1,7 @@
 /**
  * Monitors how close this process is to the memory limit that its host sets.
  * Gauges are updated every second. One log line is written when a warning level is
- * reached and one when memory is below it again, so that the last lines of a
+ * reached and one line when memory is below that level again, so that the last lines of a
  * process that was killed show whether memory was the cause.
  */
 import type { Clock } from './clock.js'
@@ -32,9 +32,9 @@
   limitBytes: number | undefined
 }
 
-/** Above this, memory may not suffice for the copy of the state that exists while a snapshot is taken or loaded. */
+/** Above this level, memory may not suffice for the copy of the state that exists while a snapshot is taken or loaded. */
 const HIGH_PERCENT = 70
-/** Below this, uncollected garbage explains the resident memory; above it, something grows. */
+/** Below this level, uncollected garbage explains the resident memory; above this level, something grows. */
 const VERY_HIGH_PERCENT = 85
 /** A few large messages or one snapshot chunk may now exceed the limit: possibly the last log line of the process. */
 const NEARLY_FULL_PERCENT = 95
--- a/src/utils/productVersion.ts
+++ b/src/utils/productVersion.ts
@@ -3,7 +3,7 @@
 import { dirname, join } from 'node:path'
 import { fileURLToPath } from 'node:url'
 
-/** Relative to dist/src/utils. */
+/** Path relative to dist/src/utils. */
 const PACKAGE_FILE = join(dirname(fileURLToPath(import.meta.url)), '../../../package.json')
 
 export function productVersion (): string {
--- a/src/utils/prometheusMetrics.ts
+++ b/src/utils/prometheusMetrics.ts
@@ -1,6 +1,6 @@
 /**
  * Metrics in the Prometheus text format, by prom-client. Names, tags and
- * descriptions come from the same catalogue as those sent to StatsD.
+ * descriptions come from the same catalogue as the metrics sent to StatsD.
  */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 import { metricCatalogue, type MetricName } from './metricNames.js'
--- a/src/utils/randomSource.ts
+++ b/src/utils/randomSource.ts
@@ -35,7 +35,7 @@
 
 /**
  * Random source for production, seeded by the operating system. Identifiers come
- * directly from the operating system, because with a seed of 31 bits those of many
+ * directly from the operating system, because with a seed of 31 bits the identifiers of many
  * hosts would collide.
  */
 export function systemRandom (): RandomSource {
--- a/src/utils/scope.ts
+++ b/src/utils/scope.ts
@@ -52,7 +52,7 @@
     return () => this._closeCallbacks.delete(callback)
   }
 
-  /** An AbortSignal that fires when the scope closes, for libraries that accept one. */
+  /** An AbortSignal that fires when the scope closes, for libraries that accept an AbortSignal. */
   signal (): AbortSignal {
     const controller = new AbortController()
     this.onClose(() => controller.abort(this._error()))
--- a/src/utils/statsdMetrics.ts
+++ b/src/utils/statsdMetrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics by hot-shots (StatsD over UDP), with a copy of every counter in memory.
+ * Metrics by hot-shots (StatsD over UDP), with every counter also kept in memory.
  * Nothing blocks or fails if no StatsD server listens. This module is separate from
  * the in-memory store, so that programs without StatsD do not load the library.
  */
--- a/src/utils/urlPath.ts
+++ b/src/utils/urlPath.ts
@@ -13,7 +13,7 @@
   }
 }
 
-/** The segments between slashes, without empty ones; undefined if one cannot be decoded. */
+/** The segments between slashes, without empty segments; undefined if any segment cannot be decoded. */
 export function decodePathSegments (path: string): string[] | undefined {
   const segments = path.split('/').filter(Boolean).map(decodePathSegment)
   return segments.every(segment => segment !== undefined) ? segments : undefined
