--- a/src/replication/log/clusterFormation.ts
+++ b/src/replication/log/clusterFormation.ts
@@ -1,9 +1,9 @@
 /**
  * Finds a cluster for a replica that has none. If any other host belongs to a
- * cluster, the replica joins that one. A new cluster is formed only when every
- * initial member answers and none belongs to a cluster yet, and only by the one
+ * cluster, the replica joins that cluster. A new cluster is formed only when every
+ * initial member answers and none belongs to a cluster yet, and only by the member
  * with the lowest host id. A host whose disk was wiped therefore never starts a
- * second cluster beside the surviving one.
+ * second cluster beside the surviving cluster.
  */
 import { sleepUntil } from '../../utils/clock.js'
 import { Progress } from '../../utils/progress.js'
@@ -28,7 +28,7 @@
 }
 
 export interface FormationOptions {
-  /** Hosts that are queried for an existing cluster; at the first start, they form it. */
+  /** Hosts that are queried for an existing cluster; at the first start, these hosts form the cluster. */
   initialMembers: InitialMember[]
   /** False for a host that may only join an existing cluster. */
   mayForm: boolean
@@ -75,7 +75,7 @@
     return this._core.role !== ReplicaRole.Leader && clock.nowMs() - this._core.electionTimerStartedAtMs > LEADERLESS_TIMEOUT_MS
   }
 
-  /** If other members know a leader that does not call this replica, that leader has removed it while it did not answer. */
+  /** If other members know a leader that does not call this replica, that leader has removed this replica while this replica did not answer. */
   private async _rejoinIfRemoved (scope: Scope): Promise<void> {
     const known = [...this._core.members, ...this._options.initialMembers]
     const others = known.filter(({ hostId }, position) => hostId !== this._ownAddresses.hostId && known.findIndex(other => other.hostId === hostId) === position)
@@ -90,7 +90,7 @@
     return clusterId !== null && state.members.at(commitIndex).some(member => member.replicaId === replicaId)
   }
 
-  /** Completes a formation that a crash interrupted after the first entry was written, but before the cluster id was. */
+  /** Completes a formation that a crash interrupted after the first entry was written, but before the cluster id was written. */
   private async _finishFormation (scope: Scope): Promise<void> {
     const first = this._core.state.log.get(1)
     if (this._core.clusterId !== null || first?.kind !== EntryKind.Membership) return
--- a/src/replication/log/followerReplicator.ts
+++ b/src/replication/log/followerReplicator.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's two tasks for each follower. One sends entries and snapshots,
- * one message at a time. The other sends heartbeats; a follower answers them
- * without waiting for its disk, so they show whether it still follows the leader.
+ * The leader's two tasks for each follower. One task sends entries and snapshots,
+ * one message at a time. The other sends heartbeats; a follower answers heartbeats
+ * without waiting for its disk, so the answers show whether it still follows the leader.
  */
 import { invariant } from '../../utils/errors.js'
 import { sleepUntil } from '../../utils/clock.js'
@@ -14,7 +14,7 @@
 
 /** Size limit for the entries of one message; a single larger entry is still sent. */
 const MAX_APPEND_BYTES = 1024 * 1024
-/** Chunks are read from disk and sent one by one; the leader holds one in memory per follower that needs a snapshot. */
+/** Chunks are read from disk and sent one by one; the leader holds one chunk in memory per follower that needs a snapshot. */
 const SNAPSHOT_CHUNK_BYTES = 512 * 1024
 
 /** Callbacks from the replication tasks to the leadership. */
--- a/src/replication/log/leadership.ts
+++ b/src/replication/log/leadership.ts
@@ -1,6 +1,6 @@
 /**
  * A leader's term: appends proposals, commits what a quorum has synced, and
- * confirms for reads that this replica still leads. It ends when a later term
+ * confirms for reads that this replica still leads. The term ends when a later term
  * starts or when a quorum has not answered for an election timeout.
  */
 import { sleepUntil } from '../../utils/clock.js'
@@ -198,7 +198,7 @@
     this._stepDownIfRemoved()
   }
 
-  /** Schedules a heartbeat that notifies followers of the commit: they answer reads, and may receive no further entries. */
+  /** Schedules a heartbeat that notifies followers of the commit: followers answer reads, and may otherwise receive no further entries that would notify them. */
   private _scheduleCommitNotice (): void {
     if (this._isCommitNoticeScheduled) return
     this._isCommitNoticeScheduled = true
--- a/src/replication/log/logApplier.ts
+++ b/src/replication/log/logApplier.ts
@@ -1,6 +1,6 @@
 /**
  * Applies committed entries to the replicated state in order, and takes a
- * snapshot of it once the log has grown enough.
+ * snapshot of the state once the log has grown enough.
  */
 import { Decoder } from 'cbor-x'
 import { setImmediate as nextTurn } from 'node:timers/promises'
@@ -95,7 +95,7 @@
     }
   }
 
-  /** Returns a piece of a leader's snapshot in which parts that the state already holds are shared with it. */
+  /** Returns a piece of a leader's snapshot in which parts that the state already holds are shared with the state. */
   reuse (piece: unknown): unknown {
     return this._state.reuse(piece)
   }
--- a/src/replication/log/membershipChanges.ts
+++ b/src/replication/log/membershipChanges.ts
@@ -5,7 +5,7 @@
  * placement, no newcomer is refused because of the size of the group: a host
  * has at most one voter and one learner, so there are at most twice as many
  * members as hosts. With a placement, there are as many members as the
- * tolerated losses require, and the other hosts wait until one is needed.
+ * tolerated losses require, and the other hosts wait until another member is needed.
  */
 import { sleepUntil } from '../../utils/clock.js'
 import type { Scope } from '../../utils/scope.js'
@@ -26,17 +26,17 @@
 /** Maximum lag of a learner that may become a voter. */
 const CAUGHT_UP_ENTRIES_COUNT = 64
 const REVIEW_INTERVAL_MS = 100
-/** A killed process restarts within a second and answers its leader within the next; a voter that has not answered for longer may be replaced by a newcomer. */
+/** A killed process restarts within a second and answers its leader within the next second; a voter that has not answered for longer may be replaced by a newcomer. */
 const REPLACE_SILENT_AFTER_MS = 2_000
 /** Losses that a group tolerates if the policy does not set a number. */
 const DEFAULT_TOLERATED_LOSSES = 1
 
 export interface MembershipPolicy {
-  /** A voter that has not answered for this long is removed, as long as enough others remain; never if absent. */
+  /** A voter that has not answered for this long is removed, as long as enough other voters remain; never if this value is absent. */
   strikeSilentAfterMs?: number | undefined
   /** Number of disks that may be lost at the same time; defaults to one. */
   toleratedLosses?: number | undefined
-  /** How many hosts are members; all of them if absent. */
+  /** How many hosts are members; all hosts if absent. */
   placement?: ReplicaPlacement | undefined
 }
 
@@ -131,7 +131,7 @@
     return members.filter(({ hostId }) => !this._leavingHostIds.has(hostId))
   }
 
-  /** Whether a newcomer may join. A replica on a host that lost its disk always may, as it replaces its predecessor. Members that do not answer are not counted. */
+  /** Whether a newcomer may join. A replica on a host that lost its disk may always join, as this replica replaces its predecessor. Members that do not answer are not counted. */
   private _shouldAdmit (newcomer: Omit<Member, 'role'>, predecessors: Member[]): boolean {
     const { placement } = this._policy
     if (!placement || predecessors.length > 0) return true
@@ -145,7 +145,7 @@
     return successor !== undefined && this._promote(successor)
   }
 
-  /** Demotes a surplus voter, such as one that came back after it was replaced, or removes a surplus spare; only while all members are live. */
+  /** Demotes a surplus voter, such as a voter that came back after being replaced, or removes a surplus spare; only while all members are live. */
   private _removeExcess (): boolean {
     const { placement } = this._policy
     const staying = this._withoutLeaving(this._core.members)
@@ -175,7 +175,7 @@
   /**
    * Promotes a newcomer, and has it replace a voter that does not answer and is
    * most likely lost: if both stayed, the dead voter would raise the quorum for
-   * the remaining ones. The newcomer is promoted before the other is removed,
+   * the remaining voters. The newcomer is promoted before the other voter is removed,
    * because that voter may come back with its disk at any time.
    */
   private _promoteNewcomer (newcomer: Member): void {
@@ -198,7 +198,7 @@
     return isNeeded ? undefined : replaced
   }
 
-  /** Whether the newcomer has been contacted for longer than an election timeout. A voter that failed just before it came is no longer considered live by then. */
+  /** Whether the newcomer has been contacted for longer than an election timeout. A voter that failed just before the newcomer came is no longer considered live by then. */
   private _isContactedLongEnough (newcomer: Member): boolean {
     const { clock, timings } = this._core.options
     const sinceMs = this._leadership.progressOf(newcomer.replicaId)?.contactedSinceMs ?? Number.POSITIVE_INFINITY
@@ -235,7 +235,7 @@
     return this._policy.toleratedLosses !== undefined && votersCount < this._minVotersCount
   }
 
-  /** With 2f + 1 voters, a majority holds an entry on one more disk than the f that may be lost. */
+  /** With 2f + 1 voters, a majority stores an entry on one more disk than the f disks that may be lost. */
   private get _minVotersCount (): number {
     return 2 * (this._policy.toleratedLosses ?? DEFAULT_TOLERATED_LOSSES) + 1
   }
--- a/src/replication/log/replicaCore.ts
+++ b/src/replication/log/replicaCore.ts
@@ -27,9 +27,9 @@
 /**
  * Upper limit for the backoff of election timeouts when leaders change
  * repeatedly although their hosts are up: each new leader has to restart
- * everything that the previous one ran, and is overloaded by that even longer.
+ * everything that the previous leader ran, and is overloaded by that restart even longer.
  * One election within the window leaves the timeout unchanged, after the second
- * it is doubled, and from the third on it is four times as long.
+ * the timeout is doubled, and from the third on it is four times as long.
  */
 const MAX_ELECTION_TIMEOUT_FACTOR = 4
 /** Longer than the few seconds that a leader needs to start a step of every trainer. */
--- a/src/replication/log/voting.ts
+++ b/src/replication/log/voting.ts
@@ -16,7 +16,7 @@
 
 export enum CampaignOutcome {
   Won,
-  /** This replica is not a voter, too few would vote for it, or it learned of a leader or a later term. The campaign changed nothing at any replica. */
+  /** This replica is not a voter, too few voters would vote for it, or it learned of a leader or a later term. The campaign changed nothing at any replica. */
   NotStarted,
   Lost
 }
