--- a/src/control/fleet/endpointAnnouncements.ts
+++ b/src/control/fleet/endpointAnnouncements.ts
@@ -3,7 +3,7 @@
  * leaves.
  *
  * A confirmed departure holds for all hosts, so it must not depend on the memory of one
- * control host: it is confirmed once the replicated log has recorded it, and every
+ * control host: a departure is confirmed once the replicated log has recorded it, and every
  * control host notifies its followers. If departures were kept in the memory of one host,
  * an endpoint that a partitioned control host refuses could turn to one that does not
  * know it, and followers of the others would go on sending to it for 4 s or longer.
--- a/src/control/fleet/followerSessions.ts
+++ b/src/control/fleet/followerSessions.ts
@@ -143,7 +143,7 @@
 
   /**
    * Notifies followers of a recorded departure and waits until they confirm or the time limit
-   * passes. The others receive it from any control host that they follow.
+   * passes. The other followers receive the departure from any control host that they follow.
    * @returns the number of followers of this host, and how many of them confirmed
    */
   async tellLeave (leave: EndpointLeave, scope: Scope): Promise<{ followersCount: number, knowingCount: number }> {
--- a/src/control/fleet/routingPush.ts
+++ b/src/control/fleet/routingPush.ts
@@ -18,7 +18,7 @@
 import { createHash } from 'node:crypto'
 
 /**
- * Rendezvous hashing: all control hosts choose the same one, and the removal of a
+ * Rendezvous hashing: all control hosts choose the same control host, and the removal of a
  * control host reassigns only its own followers.
  * @param memberAddresses addresses of all control hosts
  * @returns the address of the control host that pushes to the follower; undefined without members
@@ -36,7 +36,7 @@
   private _dueVersion = Number.POSITIVE_INFINITY
   private _nextDueVersion = Number.NEGATIVE_INFINITY
 
-  /** Records a push; returns false if the version, or a newer one, has already been sent. */
+  /** Records a push; returns false if this version, or a newer version, has already been sent. */
   recordPush (version: number): boolean {
     if (version <= this._sentVersion) return false
     this._sentVersion = version
@@ -45,7 +45,7 @@
 
   /**
    * Records a call of the follower.
-   * @param knownVersion version that the follower has; undefined before its first one
+   * @param knownVersion version that the follower has; undefined before its first version
    * @returns whether the reply has to contain the configuration
    */
   recordCall (knownVersion: number | undefined, version: number): boolean {
--- a/src/control/hosts/fenceRegistry.ts
+++ b/src/control/hosts/fenceRegistry.ts
@@ -20,7 +20,7 @@
 export class FenceRegistry {
   private readonly _fences = new Map<string, Fence>()
 
-  /** A repeated request of the same host process returns the number already issued, so that a resent command has no effect. */
+  /** A repeated request of the same host returns the number already issued to that host, so that a resent command has no effect. */
   acquire (fenceScope: string, holder: string, context: ApplyContext): HostResult {
     const current = this._fences.get(fenceScope)
     if (current?.holder === holder) return resultOf(current)
--- a/src/control/hosts/leaseTable.ts
+++ b/src/control/hosts/leaseTable.ts
@@ -8,7 +8,7 @@
 /**
  * Within this time a committed change is in force on a host, or the host has
  * stopped accepting new work. It exceeds the duration of a failover, so that hosts
- * keep their leases through one.
+ * keep their leases through a failover.
  */
 export const CONFIGURATION_LEASE_MS = 4_000
 
